--- a/cmd/violetspan/main_test.go
+++ b/cmd/violetspan/main_test.go
@@ -65,7 +65,7 @@
 	if err := os.WriteFile(other, []byte(strings.Replace(string(b), "circuits: 60", "circuits: 61", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := (&planVerifyCmd{Plan: out, Files: []string{other}}).Run(); !errors.Is(err, replan.ErrOther) {
+	if err := (&planVerifyCmd{Plan: out, Files: []string{other}}).Run(); !errors.Is(err, replan.ErrOtherInventory) {
 		t.Error(err)
 	}
 	if err := (&planSolveCmd{Files: []string{example}, Blocking: 0.2, Valid: 1e12, Deadline: 1}).Run(); err == nil {
--- a/decide/duty/agent.go
+++ b/decide/duty/agent.go
@@ -44,19 +44,19 @@
 	return &Agent{id: id, cfg: cfg, most: max(1, most), running: map[Claim]running{}, ended: map[Claim]time.Duration{}, pauses: map[string]pause{}, hung: map[string]bool{}}
 }
 
-// Ticked notes that a tick of the log in which this instance was heard was applied, and
+// RenewLease notes that a tick of the log in which this instance was heard was applied, and
 // when it had spoken, by its own steady clock: the lease counts from there and not from
 // the tick's arrival, which may be late.
-func (a *Agent) Ticked(spoke time.Duration) { a.seen, a.any = max(a.seen, spoke), true }
+func (a *Agent) RenewLease(spoke time.Duration) { a.seen, a.any = max(a.seen, spoke), true }
 
-// Leased says whether the instance may act on what the state says it owns.
-func (a *Agent) Leased(now time.Duration) bool { return a.any && now < a.seen+a.cfg.Lease }
+// HasLease says whether the instance may act on what the state says it owns.
+func (a *Agent) HasLease(now time.Duration) bool { return a.any && now < a.seen+a.cfg.Lease }
 
 // Start returns the claims to start now and notes them as running. Without a lease
 // there are none. A duty runs once at a time, oldest period first; one of which a run
 // hangs here is not started here again.
 func (a *Agent) Start(now time.Duration, s *State) []Claim {
-	if !a.Leased(now) {
+	if !a.HasLease(now) {
 		return nil
 	}
 	due := s.Due(a.id)
@@ -114,11 +114,11 @@
 	return cmp.Or(cmp.Compare(a.Duty, b.Duty), cmp.Compare(a.Series, b.Series), cmp.Compare(a.Period, b.Period), cmp.Compare(a.Epoch, b.Epoch))
 }
 
-// Ended takes in how a run ended at its sink. It says whether Done is to be proposed:
+// RunEnded takes in how a run ended at its sink. It says whether Done is to be proposed:
 // where the effect is there, by this run or another.
-func (a *Agent) Ended(now time.Duration, c Claim, err error) (propose bool) {
+func (a *Agent) RunEnded(now time.Duration, c Claim, err error) (propose bool) {
 	delete(a.running, c)
-	if err == nil || errors.Is(err, ErrDone) {
+	if err == nil || errors.Is(err, ErrAlreadyDone) {
 		a.ended[c] = now
 		delete(a.pauses, c.Duty)
 		return true
@@ -132,12 +132,12 @@
 	return false
 }
 
-// Back says that a run that was given up has ended after all.
-func (a *Agent) Back(c Claim) { delete(a.hung, c.Duty) }
+// HungRunEnded says that a run that was given up has ended after all.
+func (a *Agent) HungRunEnded(c Claim) { delete(a.hung, c.Duty) }
 
-// Again returns claims that were carried out here a lease ago or longer and are due
+// Repropose returns claims that were carried out here a lease ago or longer and are due
 // still: what was proposed of them was lost on its way, and is to be proposed again.
-func (a *Agent) Again(now time.Duration, s *State) []Claim {
+func (a *Agent) Repropose(now time.Duration, s *State) []Claim {
 	var out []Claim
 	for _, c := range s.Due(a.id) {
 		if at, over := a.ended[c]; over && now >= at+a.cfg.Lease {
@@ -150,8 +150,8 @@
 
 // Errors of a Sink.
 var (
-	ErrFenced = errors.New("duty: another owner has come since")
-	ErrDone   = errors.New("duty: the period is done")
+	ErrFenced      = errors.New("duty: another owner has come since")
+	ErrAlreadyDone = errors.New("duty: the period is done")
 )
 
 // Sink is the fence. It must be kept where the effect lands, and be changed in one
@@ -195,7 +195,7 @@
 	k.asked++
 	f.epoch, f.asked = c.Epoch, k.asked
 	if c.Period <= f.upTo || f.done[c.Period] {
-		return fmt.Errorf("%w: %s period %d", ErrDone, c.Duty, c.Period)
+		return fmt.Errorf("%w: %s period %d", ErrAlreadyDone, c.Duty, c.Period)
 	}
 	f.done[c.Period] = true
 	for len(f.done) > keepDone {
--- a/decide/duty/duty.go
+++ b/decide/duty/duty.go
@@ -23,7 +23,7 @@
 const (
 	MaxMembers = 64
 	MaxDuties  = 4096
-	MaxName    = 128
+	MaxNameLen = 128
 	MaxLoad    = 1_000_000
 )
 
@@ -108,8 +108,8 @@
 // Errors of Apply. An entry that brings one has changed nothing.
 var (
 	ErrUnknown = errors.New("duty: not known")
-	ErrBound   = errors.New("duty: no room for more")
-	ErrSpec    = errors.New("duty: a specification that can't be")
+	ErrLimit   = errors.New("duty: no room for more")
+	ErrInvalid = errors.New("duty: a specification that can't be")
 )
 
 type member struct {
@@ -192,13 +192,13 @@
 }
 
 func (s *State) join(e Join) error {
-	if e.Member == "" || len(e.Member) > MaxName {
-		return fmt.Errorf("%w: instance %q", ErrSpec, e.Member)
+	if e.Member == "" || len(e.Member) > MaxNameLen {
+		return fmt.Errorf("%w: instance %q", ErrInvalid, e.Member)
 	}
 	m := s.members[e.Member]
 	switch {
 	case m == nil && len(s.members) >= MaxMembers:
-		return fmt.Errorf("%w: %d instances", ErrBound, len(s.members))
+		return fmt.Errorf("%w: %d instances", ErrLimit, len(s.members))
 	case m != nil && e.Incarnation <= m.incarnation:
 		return nil
 	case m != nil: // it restarted: what it had begun is fenced
@@ -211,15 +211,15 @@
 }
 
 func (s *State) register(spec Spec) error {
-	if spec.Name == "" || len(spec.Name) > MaxName || spec.Period < 100*time.Millisecond || spec.Load < 0 || spec.Load > MaxLoad ||
+	if spec.Name == "" || len(spec.Name) > MaxNameLen || spec.Period < 100*time.Millisecond || spec.Load < 0 || spec.Load > MaxLoad ||
 		spec.Deadline < 0 || spec.MostMissed < 0 {
-		return fmt.Errorf("%w: %+v", ErrSpec, spec)
+		return fmt.Errorf("%w: %+v", ErrInvalid, spec)
 	}
 	spec = spec.filled()
 	t := s.duties[spec.Name]
 	if t == nil {
 		if len(s.duties) >= MaxDuties {
-			return fmt.Errorf("%w: %d duties", ErrBound, len(s.duties))
+			return fmt.Errorf("%w: %d duties", ErrLimit, len(s.duties))
 		}
 		t = &task{spec: spec, ahead: map[int64]bool{}}
 		s.duties[spec.Name] = t
@@ -440,9 +440,9 @@
 	return out
 }
 
-// Missing returns the registrations that bring the state to what is wanted. Duties that
+// MissingRegistrations returns the registrations that bring the state to what is wanted. Duties that
 // are not wanted stay: another instance may have set them.
-func (s *State) Missing(want []Spec) []Register {
+func (s *State) MissingRegistrations(want []Spec) []Register {
 	var out []Register
 	for _, w := range want {
 		if t := s.duties[w.Name]; t == nil || t.spec != w.filled() {
@@ -452,27 +452,27 @@
 	return out
 }
 
-// Holding is a duty as it stands.
-type Holding struct {
-	Spec  Spec
-	Owner string
-	Epoch uint64
-	Done  int64 // all periods up to this one are done or skipped
-	Owed  int   // periods that are due and not done
+// Status is a duty as it stands.
+type Status struct {
+	Spec        Spec
+	Owner       string
+	Epoch       uint64
+	DoneThrough int64 // all periods up to this one are done or skipped
+	Pending     int   // periods that are due and not done
 }
 
 // Duties returns all duties by name.
-func (s *State) Duties() []Holding {
-	var out []Holding
+func (s *State) Duties() []Status {
+	var out []Status
 	for _, n := range s.names() {
 		t := s.duties[n]
-		out = append(out, Holding{t.spec, t.owner, t.epoch, t.done, int(s.current(t)-t.done) - len(t.ahead)})
+		out = append(out, Status{t.spec, t.owner, t.epoch, t.done, int(s.current(t)-t.done) - len(t.ahead)})
 	}
 	return out
 }
 
-// Standing is an instance as the state has it.
-type Standing struct {
+// MemberStatus is an instance as the state has it.
+type MemberStatus struct {
 	Member      string
 	Incarnation uint64
 	Live        bool
@@ -480,11 +480,11 @@
 }
 
 // Members returns all instances by name.
-func (s *State) Members() []Standing {
-	var out []Standing
+func (s *State) Members() []MemberStatus {
+	var out []MemberStatus
 	for _, id := range s.ids() {
 		m := s.members[id]
-		out = append(out, Standing{id, m.incarnation, m.live, m.load})
+		out = append(out, MemberStatus{id, m.incarnation, m.live, m.load})
 	}
 	return out
 }
--- a/decide/duty/duty_test.go
+++ b/decide/duty/duty_test.go
@@ -91,7 +91,7 @@
 	if got := a.Start(0, s); got != nil {
 		t.Errorf("%v without a lease", got)
 	}
-	a.Ticked(7 * sec)
+	a.RenewLease(7 * sec)
 	if got := a.Start(10*sec, s); got != nil {
 		t.Errorf("%v with a lease of the past", got)
 	}
@@ -105,7 +105,7 @@
 	if stop, hung := a.Stop(19*sec, s); len(stop) != 2 || hung != nil {
 		t.Errorf("%v %v past the deadline", stop, hung)
 	}
-	if a.Ended(9*sec, cs[0], errors.New("it panicked")) || !a.Ended(9*sec, cs[1], nil) {
+	if a.RunEnded(9*sec, cs[0], errors.New("it panicked")) || !a.RunEnded(9*sec, cs[1], nil) {
 		t.Error("proposals")
 	}
 	next := a.Start(9*sec, s)
@@ -119,11 +119,11 @@
 	if diff := cmp.Diff([]string{"now106"}, brief(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
 		t.Error(diff)
 	}
-	a.Back(next[0])
+	a.HungRunEnded(next[0])
 	if diff := cmp.Diff([]string{"up105"}, brief(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"up104"}, brief(append(a.Again(11*sec, s), a.Again(12*sec, s)...))); diff != "" {
+	if diff := cmp.Diff([]string{"up104"}, brief(append(a.Repropose(11*sec, s), a.Repropose(12*sec, s)...))); diff != "" {
 		t.Error(diff) // its Done is not in the log: proposed again after a lease, not sooner
 	}
 	must(t, s, Done{Claim{"up", s.duties["up"].series, 105, 1}}, Done{Claim{"up", s.duties["up"].series, 104, 1}}, Done{Claim{"now", 0, 106, 1}},
@@ -146,7 +146,7 @@
 	for i, c := range []struct {
 		c    Claim
 		want error
-	}{{Claim{"d", 1, 5, 3}, nil}, {Claim{"d", 1, 5, 3}, ErrDone}, {Claim{"d", 1, 6, 2}, ErrFenced}, {Claim{"d", 1, 5, 4}, ErrDone},
+	}{{Claim{"d", 1, 5, 3}, nil}, {Claim{"d", 1, 5, 3}, ErrAlreadyDone}, {Claim{"d", 1, 6, 2}, ErrFenced}, {Claim{"d", 1, 5, 4}, ErrAlreadyDone},
 		{Claim{"d", 1, 7, 3}, ErrFenced}, {Claim{"d", 1, 7, 4}, nil}, {Claim{"d", 1, 6, 4}, nil}, {Claim{"e", 2, 1, 1}, nil},
 		{Claim{"d", 9, 2, 9}, nil}, {Claim{"d", 1, 8, 10}, ErrFenced}, {Claim{"d", 9, 2 + 5000, 10}, nil}} {
 		if err := k.Accept(c.c); !errors.Is(err, c.want) {
@@ -159,7 +159,7 @@
 	if n := len(k.duties["d"].done); n > keepDone {
 		t.Errorf("%d periods kept", n)
 	}
-	if err := k.Accept(Claim{"d", 9, 6001, 11}); !errors.Is(err, ErrDone) {
+	if err := k.Accept(Claim{"d", 9, 6001, 11}); !errors.Is(err, ErrAlreadyDone) {
 		t.Error("a period that was forgotten was taken again")
 	}
 	for i := range uint64(keepDuties) { // names of later push out the one that was quiet
@@ -174,7 +174,7 @@
 func TestBadEntries(t *testing.T) {
 	s := many(t, 5, 2)
 	before := fmt.Sprint(s.Members(), s.Duties())
-	long := strings.Repeat("x", MaxName+1)
+	long := strings.Repeat("x", MaxNameLen+1)
 	for _, e := range []Entry{Leave{"none"}, Remove{"none"}, Join{"", 1}, Join{long, 1}, Done{Claim{Duty: "none"}}, nil,
 		Register{Spec{Name: "d"}}, Register{Spec{Name: long, Period: sec}}, Register{Spec{Name: "d", Period: sec, Load: -1}},
 		Register{Spec{Name: "d", Period: sec, Deadline: -1}}, Register{Spec{Name: "d", Period: sec, MostMissed: -1}}} {
@@ -188,7 +188,7 @@
 	for i := range MaxMembers {
 		_ = s.Apply(Join{fmt.Sprint("x", i), 1})
 	}
-	if err := s.Apply(Join{"one more", 1}); !errors.Is(err, ErrBound) {
+	if err := s.Apply(Join{"one more", 1}); !errors.Is(err, ErrLimit) {
 		t.Error(err)
 	}
 }
@@ -244,7 +244,7 @@
 			if other, err2 := a.Save(); err != nil || err2 != nil || string(other) != string(saved) {
 				t.Fatalf("seed %d after %+v: %v %v\n%s\n%s", seed, e, err, err2, other, saved)
 			}
-			live, load := map[string]Standing{}, map[string]int{}
+			live, load := map[string]MemberStatus{}, map[string]int{}
 			tick, _ := e.(Tick)
 			for _, m := range a.Members() {
 				if load[m.Member] = m.Load; m.Live {
@@ -256,7 +256,7 @@
 			for _, h := range a.Duties() {
 				m, ok := live[h.Owner]
 				life := fmt.Sprint(h.Spec.Name, m.Member, m.Incarnation)
-				if was := owners[h.Epoch]; ok && was != "" && was != life || !ok && (h.Owner != "" || len(live) > 0) || h.Owed < 0 {
+				if was := owners[h.Epoch]; ok && was != "" && was != life || !ok && (h.Owner != "" || len(live) > 0) || h.Pending < 0 {
 					t.Fatalf("seed %d after %+v: %+v, live %v, its epoch was %q", seed, e, h, live, was)
 				}
 				if ok {
--- a/decide/duty/explore_test.go
+++ b/decide/duty/explore_test.go
@@ -121,7 +121,7 @@
 	e := w.log[in.applied]
 	in.applied++
 	if t, ok := e.(Tick); ok && slices.Contains(t.Heard, exploreIDs[i]) {
-		in.agent.Ticked(t.Now) // ticks are asked for at their time: the clocks agree here
+		in.agent.RenewLease(t.Now) // ticks are asked for at their time: the clocks agree here
 	}
 }
 
@@ -159,10 +159,10 @@
 	if !heard || !in.up || in.life != f.life {
 		return
 	}
-	if _, on := in.agent.running[f.c]; !on && !errors.Is(err, ErrDone) {
+	if _, on := in.agent.running[f.c]; !on && !errors.Is(err, ErrAlreadyDone) {
 		return // a copy
 	}
-	if in.agent.Ended(w.now, f.c, err) && w.majority() {
+	if in.agent.RunEnded(w.now, f.c, err) && w.majority() {
 		w.log = append(slices.Clip(w.log), Done{f.c})
 	}
 }
@@ -253,9 +253,9 @@
 			// A run whose effect was lost ends at its deadline.
 			stop, _ := w.ins[i].agent.Stop(w.now, w.state(w.ins[i].applied))
 			for _, c := range stop {
-				w.ins[i].agent.Ended(w.now, c, errors.New("stopped"))
+				w.ins[i].agent.RunEnded(w.now, c, errors.New("stopped"))
 			}
-			for _, c := range w.ins[i].agent.Again(w.now, w.state(w.ins[i].applied)) {
+			for _, c := range w.ins[i].agent.Repropose(w.now, w.state(w.ins[i].applied)) {
 				w.log = append(slices.Clip(w.log), Done{c})
 			}
 			w.start(i)
--- a/decide/duty/save.go
+++ b/decide/duty/save.go
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
 	if len(in.Members) > MaxMembers || len(in.Duties) > MaxDuties {
-		return nil, fmt.Errorf("duty: snapshot: %w", ErrBound)
+		return nil, fmt.Errorf("duty: snapshot: %w", ErrLimit)
 	}
 	s := New(cfg)
 	s.now, s.ticked, s.epochs, s.moves = in.Now, in.Ticked, in.Epochs, in.Moves
@@ -73,7 +73,7 @@
 		if t.owner != "" {
 			m := s.members[t.owner]
 			if m == nil || !m.live || t.spec.Period <= 0 {
-				return nil, fmt.Errorf("duty: snapshot: %w: duty %q of %q", ErrSpec, d.Spec.Name, t.owner)
+				return nil, fmt.Errorf("duty: snapshot: %w: duty %q of %q", ErrInvalid, d.Spec.Name, t.owner)
 			}
 			m.load += t.spec.Load
 		}
--- a/decide/replan/demand.go
+++ b/decide/replan/demand.go
@@ -17,11 +17,11 @@
 	To    string
 }
 
-// Demand measures calls a second by flow, each by an exponentially aged count: a
+// DemandMeter measures calls a second by flow, each by an exponentially aged count: a
 // step in the offered rate shows by 63% after Memory, and a rate of r calls a second
 // is known within about r/sqrt(2 r Memory). A window would need all arrival times,
 // or forget in steps.
-type Demand struct {
+type DemandMeter struct {
 	memory  time.Duration
 	most    int
 	began   time.Duration
@@ -40,15 +40,15 @@
 	return a.v * math.Exp(-float64(max(0, now-a.last))/float64(memory))
 }
 
-// NewDemand returns a measure with the given memory that keeps at most so many
+// NewDemandMeter returns a measure with the given memory that keeps at most so many
 // flows. Where there are more, the least one makes room if the new flow's calls
 // lift it above that one.
-func NewDemand(memory time.Duration, most int) *Demand {
-	return &Demand{memory: memory, most: most, flows: map[Flow]*aged{}}
+func NewDemandMeter(memory time.Duration, most int) *DemandMeter {
+	return &DemandMeter{memory: memory, most: most, flows: map[Flow]*aged{}}
 }
 
 // Count takes in n calls.
-func (d *Demand) Count(now time.Duration, f Flow, n int) {
+func (d *DemandMeter) Count(now time.Duration, f Flow, n int) {
 	if !d.started {
 		d.began, d.started = now, true
 	}
@@ -67,7 +67,7 @@
 }
 
 // makeRoom drops the least flow if it is below a rate.
-func (d *Demand) makeRoom(now time.Duration, rate float64) bool {
+func (d *DemandMeter) makeRoom(now time.Duration, rate float64) bool {
 	var least Flow
 	low := math.Inf(1)
 	for f, a := range d.flows {
@@ -83,32 +83,32 @@
 	return true
 }
 
-// Known is the share of a full memory that has passed: until then the measure says
+// Coverage is the share of a full memory that has passed: until then the measure says
 // little of flows that have not come by chance.
-func (d *Demand) Known(now time.Duration) float64 {
+func (d *DemandMeter) Coverage(now time.Duration) float64 {
 	if !d.started || now <= d.began {
 		return 0
 	}
 	return 1 - math.Exp(-float64(now-d.began)/float64(d.memory))
 }
 
-// Rate is one flow's calls a second.
-type Rate struct {
+// FlowRate is one flow's calls a second.
+type FlowRate struct {
 	Flow
 	Rate float64
 }
 
 // Rates returns all flows with their rates, corrected for a memory that is not full
 // yet, in the order of their names.
-func (d *Demand) Rates(now time.Duration) []Rate {
-	known := d.Known(now)
+func (d *DemandMeter) Rates(now time.Duration) []FlowRate {
+	known := d.Coverage(now)
 	if known == 0 {
 		return nil
 	}
-	var out []Rate
+	var out []FlowRate
 	for f, a := range d.flows {
-		out = append(out, Rate{f, a.at(now, d.memory) / known})
+		out = append(out, FlowRate{f, a.at(now, d.memory) / known})
 	}
-	slices.SortFunc(out, func(a, b Rate) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.To, b.To)) })
+	slices.SortFunc(out, func(a, b FlowRate) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.To, b.To)) })
 	return out
 }
--- a/decide/replan/replan.go
+++ b/decide/replan/replan.go
@@ -9,45 +9,45 @@
 	"violetspan.example/violetspan/decide/plan"
 )
 
-// ErrOther says that a plan was made for switches, groups, classes or tenants that
+// ErrOtherInventory says that a plan was made for switches, groups, classes or tenants that
 // are not the inventory's.
-var ErrOther = errors.New("the plan is for another inventory")
+var ErrOtherInventory = errors.New("the plan is for another inventory")
 
 // Settings of a Planner. The zero value of a field means its default.
 type Settings struct {
-	Here     string        // the own exchange's switch
-	Every    time.Duration // between two solves, end to start; 60 s
-	Valid    time.Duration // a published plan holds for so long; 10 min
-	Margin   float64       // by which a new plan's worth must beat the one in force; 0.01
-	Confirm  int           // solves in a row that must; 2
-	Cool     time.Duration // least time between two plans; 2 min
-	Memory   time.Duration // of the measured demand; 2 min
-	MostSeen int           // flows that are measured; 4,096
-	Known    float64       // share of the memory that must have passed; 0.8
+	OwnSwitch     string        // the own exchange's switch
+	Interval      time.Duration // between two solves, end to start; 60 s
+	Validity      time.Duration // a published plan holds for so long; 10 min
+	Margin        float64       // by which a new plan's worth must beat the one in force; 0.01
+	Confirmations int           // solves in a row that must; 2
+	Cooldown      time.Duration // least time between two plans; 2 min
+	Memory        time.Duration // of the measured demand; 2 min
+	MaxFlows      int           // flows that are measured; 4,096
+	MinCoverage   float64       // share of the memory that must have passed; 0.8
 }
 
-// Defaults fills in what is not set.
-func (s Settings) Defaults() Settings {
+// WithDefaults fills in what is not set.
+func (s Settings) WithDefaults() Settings {
 	def := func(d *time.Duration, v time.Duration) {
 		if *d <= 0 {
 			*d = v
 		}
 	}
-	def(&s.Every, time.Minute)
-	def(&s.Valid, 10*time.Minute)
-	def(&s.Cool, 2*time.Minute)
+	def(&s.Interval, time.Minute)
+	def(&s.Validity, 10*time.Minute)
+	def(&s.Cooldown, 2*time.Minute)
 	def(&s.Memory, 2*time.Minute)
 	if s.Margin <= 0 {
 		s.Margin = 0.01
 	}
-	if s.Confirm <= 0 {
-		s.Confirm = 2
+	if s.Confirmations <= 0 {
+		s.Confirmations = 2
 	}
-	if s.MostSeen <= 0 {
-		s.MostSeen = 4096
+	if s.MaxFlows <= 0 {
+		s.MaxFlows = 4096
 	}
-	if s.Known <= 0 || s.Known >= 1 {
-		s.Known = 0.8
+	if s.MinCoverage <= 0 || s.MinCoverage >= 1 {
+		s.MinCoverage = 0.8
 	}
 	return s
 }
@@ -73,20 +73,20 @@
 // Withdraw ends the plan in force; the version is above that plan's.
 type Withdraw struct{ Version uint64 }
 
-// Note is a line for the operators.
-type Note struct {
+// Log is a line for the operators.
+type Log struct {
 	Text string
 	Err  error // or nil
 	// Figures that go with it: worth a second of the plan in force and of the new one
 	// under the same demand, and how many solves in a row it has won.
-	Old, New float64
-	Won      int
+	OldWorth, NewWorth float64
+	Confirmations      int
 }
 
 func (Solve) isAction()    {}
 func (Publish) isAction()  {}
 func (Withdraw) isAction() {}
-func (Note) isAction()     {}
+func (Log) isAction()      {}
 
 // phase of a Planner.
 type phase uint8
@@ -100,7 +100,7 @@
 type Planner struct {
 	set     Settings
 	base    *plan.Problem // of the inventory, with its planned demand
-	demand  *Demand
+	demand  *DemandMeter
 	phase   phase
 	ticket  uint64
 	asked   *plan.Problem
@@ -116,18 +116,18 @@
 // New returns a planner without a plan. Versions begin above the given one, so that
 // they rise over restarts if the host gives the time.
 func New(s Settings, version uint64) *Planner {
-	s = s.Defaults()
-	return &Planner{set: s, version: version, demand: NewDemand(s.Memory, s.MostSeen)}
+	s = s.WithDefaults()
+	return &Planner{set: s, version: version, demand: NewDemandMeter(s.Memory, s.MaxFlows)}
 }
 
 // Count takes in n calls of the own exchange's callers.
 func (p *Planner) Count(now time.Duration, f Flow, n int) { p.demand.Count(now, f, n) }
 
-// Inventory takes a new inventory. A plan in force that is not for it ends: a switch,
+// SetInventory takes a new inventory. A plan in force that is not for it ends: a switch,
 // group or class of it may be gone. An answer on its way is for the old one and will
 // be dropped.
-func (p *Planner) Inventory(now time.Duration, base *plan.Problem) []Action {
-	same := p.base != nil && SameMesh(p.base, base)
+func (p *Planner) SetInventory(now time.Duration, base *plan.Problem) []Action {
+	same := p.base != nil && SameExceptDemand(p.base, base)
 	p.base = base
 	if same {
 		return nil
@@ -138,20 +138,20 @@
 	}
 	p.force = nil
 	p.version++
-	return []Action{Withdraw{p.version}, Note{Text: "the inventory has changed: the plan is dropped"}}
+	return []Action{Withdraw{p.version}, Log{Text: "the inventory has changed: the plan is dropped"}}
 }
 
-// Take brings a plan from outside into force, such as an operator's file. It must be
+// Import brings a plan from outside into force, such as an operator's file. It must be
 // for the present inventory, whatever costs and blocking it was made with, and pass
 // the verifier, or nothing changes.
-func (p *Planner) Take(now time.Duration, problem *plan.Problem, a *plan.Answer, gap float64, valid time.Duration) ([]Action, error) {
+func (p *Planner) Import(now time.Duration, problem *plan.Problem, a *plan.Answer, gap float64, valid time.Duration) ([]Action, error) {
 	if p.base == nil {
-		return nil, ErrOther
+		return nil, ErrOtherInventory
 	}
 	base := *p.base
 	base.Target, base.Costs = problem.Target, problem.Costs
-	if !SameMesh(&base, problem) {
-		return nil, ErrOther
+	if !SameExceptDemand(&base, problem) {
+		return nil, ErrOtherInventory
 	}
 	if _, err := plan.Verify(problem, a, gap); err != nil {
 		return nil, fmt.Errorf("the plan fails its verification: %w", err)
@@ -171,9 +171,9 @@
 	if p.force != nil && now >= p.until {
 		p.force = nil
 		p.version++
-		out = append(out, Withdraw{p.version}, Note{Text: "the plan is past its time: dropped"})
+		out = append(out, Withdraw{p.version}, Log{Text: "the plan is past its time: dropped"})
 	}
-	if p.phase != idle || p.base == nil || now < p.due || p.demand.Known(now) < p.set.Known {
+	if p.phase != idle || p.base == nil || now < p.due || p.demand.Coverage(now) < p.set.MinCoverage {
 		return out
 	}
 	p.phase = solving
@@ -194,12 +194,12 @@
 	}
 	tenants := map[Flow]float64{} // planned by all tenants together
 	for _, d := range q.Demands {
-		if d.From == p.set.Here {
+		if d.From == p.set.OwnSwitch {
 			tenants[Flow{d.Class, d.To}] += d.Rate
 		}
 	}
 	for i, d := range q.Demands {
-		if d.From != p.set.Here {
+		if d.From != p.set.OwnSwitch {
 			continue
 		}
 		f := Flow{d.Class, d.To}
@@ -219,54 +219,54 @@
 		class[c.ID] = true
 	}
 	for _, r := range p.demand.Rates(now) {
-		if _, planned := tenants[r.Flow]; !planned && known[r.To] && class[r.Class] && r.To != p.set.Here && known[p.set.Here] {
-			q.Demands = append(q.Demands, plan.Demand{Class: r.Class, From: p.set.Here, To: r.To, Rate: r.Rate})
+		if _, planned := tenants[r.Flow]; !planned && known[r.To] && class[r.Class] && r.To != p.set.OwnSwitch && known[p.set.OwnSwitch] {
+			q.Demands = append(q.Demands, plan.Demand{Class: r.Class, From: p.set.OwnSwitch, To: r.To, Rate: r.Rate})
 		}
 	}
 	return &q
 }
 
-// Solved brings the answer to a Solve, or its error. One that is not awaited any more
+// HandleSolved brings the answer to a Solve, or its error. One that is not awaited any more
 // is ignored.
-func (p *Planner) Solved(now time.Duration, ticket uint64, a *plan.Answer, err error) []Action {
+func (p *Planner) HandleSolved(now time.Duration, ticket uint64, a *plan.Answer, err error) []Action {
 	if p.phase != solving || ticket != p.ticket {
 		return nil
 	}
 	problem := p.asked
-	p.phase, p.asked, p.due = idle, nil, now+p.set.Every
+	p.phase, p.asked, p.due = idle, nil, now+p.set.Interval
 	if err != nil {
 		p.won = 0
-		return []Action{Note{Text: "no new plan", Err: err}}
+		return []Action{Log{Text: "no new plan", Err: err}}
 	}
 	old := 0.0
 	if p.force != nil {
 		old = plan.Carry(problem, p.force)
 	}
-	n := Note{Text: "plan kept", Old: old, New: a.Worth}
+	n := Log{Text: "plan kept", OldWorth: old, NewWorth: a.Worth}
 	switch {
 	case p.force == nil:
 		n.Text = "plan taken: none was in force"
 	case a.Worth < old*(1+p.set.Margin):
 		p.won = 0
-		if p.until-now > p.set.Valid/2 {
+		if p.until-now > p.set.Validity/2 {
 			return []Action{n}
 		}
 		n.Text = "plan renewed: the one in force nears its end"
 	default:
 		p.won++
-		n.Won = p.won
-		if p.won < p.set.Confirm || now < p.since+p.set.Cool {
+		n.Confirmations = p.won
+		if p.won < p.set.Confirmations || now < p.since+p.set.Cooldown {
 			n.Text = "a better plan waits to be confirmed"
 			return []Action{n}
 		}
 		n.Text = "plan taken: it is better"
 	}
-	return append(p.publish(now, problem, a, p.set.Valid), n)
+	return append(p.publish(now, problem, a, p.set.Validity), n)
 }
 
-// SameMesh says whether two problems differ in their demand alone. Order has no
+// SameExceptDemand says whether two problems differ in their demand alone. Order has no
 // meaning.
-func SameMesh(a, b *plan.Problem) bool {
+func SameExceptDemand(a, b *plan.Problem) bool {
 	if a.Costs != b.Costs || a.Target != b.Target {
 		return false
 	}
--- a/decide/replan/replan_test.go
+++ b/decide/replan/replan_test.go
@@ -20,7 +20,7 @@
 // A rate is found after a step, and known about as well as the comment says.
 func TestDemandFollows(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	d := NewDemand(60*sec, 10)
+	d := NewDemandMeter(60*sec, 10)
 	f := Flow{"narrow", "b"}
 	now, rate := time.Duration(0), 5.0
 	for now < 600*sec {
@@ -48,7 +48,7 @@
 
 // Memory is bounded; the busy flows stay.
 func TestDemandIsBounded(t *testing.T) {
-	d := NewDemand(60*sec, 8)
+	d := NewDemandMeter(60*sec, 8)
 	for i := range 4000 {
 		now := time.Duration(i) * 100 * time.Millisecond
 		d.Count(now, Flow{"busy", fmt.Sprint(i % 8)}, 5)
@@ -97,7 +97,7 @@
 		case Withdraw:
 			b.rises(a.Version)
 			b.log = append(b.log, "withdraw")
-		case Note:
+		case Log:
 			b.log = append(b.log, a.Text)
 		}
 	}
@@ -116,7 +116,7 @@
 	if err == nil && change != nil {
 		err = change(a)
 	}
-	b.do(b.p.Solved(now, s.Ticket, a, err))
+	b.do(b.p.HandleSolved(now, s.Ticket, a, err))
 }
 
 func (b *bench) want(lines ...string) {
@@ -128,8 +128,8 @@
 }
 
 func start(t *testing.T) *bench {
-	b := &bench{t: t, p: New(Settings{Here: "a", Every: 10 * sec, Valid: 100 * sec, Cool: 15 * sec, Memory: 10 * sec, Confirm: 2}, 5)}
-	b.do(b.p.Inventory(0, mesh(20)))
+	b := &bench{t: t, p: New(Settings{OwnSwitch: "a", Interval: 10 * sec, Validity: 100 * sec, Cooldown: 15 * sec, Memory: 10 * sec, Confirmations: 2}, 5)}
+	b.do(b.p.SetInventory(0, mesh(20)))
 	return b
 }
 
@@ -186,7 +186,7 @@
 	b.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnproven })
 	b.want("solve", "no new plan")
 	b.do(b.p.Tick(32 * sec))
-	b.do(b.p.Inventory(33*sec, mesh(25))) // while it is on its way
+	b.do(b.p.SetInventory(33*sec, mesh(25))) // while it is on its way
 	b.answer(34*sec, nil)
 	b.want("solve")
 	b.do(b.p.Tick(35 * sec)) // a new one is due at once
@@ -197,11 +197,11 @@
 	more := mesh(25)
 	more.Demands[1].Rate = 9
 	slices.Reverse(more.Groups)
-	b.do(b.p.Inventory(38*sec, more)) // the same mesh, in another order
+	b.do(b.p.SetInventory(38*sec, more)) // the same mesh, in another order
 	b.want()
 	gone := mesh(25)
 	gone.Switches[1].Phase = plan.Draining
-	b.do(b.p.Inventory(39*sec, gone))
+	b.do(b.p.SetInventory(39*sec, gone))
 	b.want("withdraw", "the inventory has changed: the plan is dropped")
 }
 
@@ -218,7 +218,7 @@
 			t.Fatal(err)
 		}
 		a.Routes[0].Direct += c.more
-		acts, err := b.p.Take(sec, p, a, 1e-6, time.Minute)
+		acts, err := b.p.Import(sec, p, a, 1e-6, time.Minute)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) || (len(acts) > 0) != (err == nil) {
 			t.Errorf("%s: %v %v", name, acts, err)
 		}
@@ -252,21 +252,21 @@
 				}
 			case 4:
 				if r.IntN(4) == 0 {
-					b.do(b.p.Inventory(now, mesh(20+r.IntN(2))))
+					b.do(b.p.SetInventory(now, mesh(20+r.IntN(2))))
 				}
 			default:
 				if len(b.asked) > 0 { // an old ticket
-					b.do(b.p.Solved(now, b.asked[0].Ticket+uint64(r.IntN(2)), nil, errors.New("late")))
+					b.do(b.p.HandleSolved(now, b.asked[0].Ticket+uint64(r.IntN(2)), nil, errors.New("late")))
 				}
 			}
 			if len(b.asked) > before+1 {
 				t.Fatal("two solves at once")
 			}
-			if b.p.force != force && force != nil && b.p.force != nil && now < taken+15*sec && b.p.until-now < b.p.set.Valid {
+			if b.p.force != force && force != nil && b.p.force != nil && now < taken+15*sec && b.p.until-now < b.p.set.Validity {
 				t.Fatal(seed, now, "changed too soon")
 			}
 			if b.p.force != nil {
-				if !SameMesh(b.p.problem, b.p.base) {
+				if !SameExceptDemand(b.p.problem, b.p.base) {
 					t.Fatal(seed, now, "a plan for another mesh")
 				}
 				if b.p.force != force {
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -105,8 +105,8 @@
 	ID, Leader, Term, Applied uint64
 	Joined                    bool
 	Counts                    Counts
-	Duties                    []duty.Holding
-	Members                   []duty.Standing
+	Duties                    []duty.Status
+	Members                   []duty.MemberStatus
 	Now                       time.Duration // of the log
 }
 
@@ -233,7 +233,7 @@
 			h.propose(duty.Join{Member: h.cfg.Name, Incarnation: h.life})
 		}
 		if h.m.Leads() {
-			for _, r := range h.m.State().Missing(h.cfg.Duties) {
+			for _, r := range h.m.State().MissingRegistrations(h.cfg.Duties) {
 				h.propose(r)
 			}
 		}
@@ -311,7 +311,7 @@
 		switch e := e.(type) {
 		case duty.Tick:
 			if k := slices.Index(e.Heard, h.cfg.Name); k >= 0 && k < len(e.At) {
-				h.agent.Ticked(e.At[k])
+				h.agent.RenewLease(e.At[k])
 			}
 		case duty.Join:
 			if e.Member == h.cfg.Name && e.Incarnation == h.life {
@@ -332,7 +332,7 @@
 		delete(h.running, c)
 		h.log.Error("duty hangs", "duty", c.Duty, "period", c.Period, "epoch", c.Epoch)
 	}
-	for _, c := range h.agent.Again(now, state) {
+	for _, c := range h.agent.Repropose(now, state) {
 		h.counts.Again++
 		h.propose(duty.Done{Claim: c})
 	}
@@ -365,8 +365,8 @@
 
 func (h *Host) end(r result) {
 	if h.running[r.c] != r.r { // it was given up, and has come back
-		h.agent.Back(r.c)
-		if r.err != nil && !errors.Is(r.err, duty.ErrDone) {
+		h.agent.HungRunEnded(r.c)
+		if r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone) {
 			return
 		}
 	} else {
@@ -376,11 +376,11 @@
 	case errors.Is(r.err, duty.ErrFenced):
 		h.counts.Fenced++
 		h.log.Info("duty fenced", "duty", r.c.Duty, "period", r.c.Period, "epoch", r.c.Epoch)
-	case r.err != nil && !errors.Is(r.err, duty.ErrDone):
+	case r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone):
 		h.counts.Failed++
 		h.log.Warn("duty failed", "duty", r.c.Duty, "period", r.c.Period, "epoch", r.c.Epoch, "error", r.err)
 	}
-	if h.agent.Ended(h.steady(), r.c, r.err) {
+	if h.agent.RunEnded(h.steady(), r.c, r.err) {
 		h.propose(duty.Done{Claim: r.c})
 	}
 }
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -113,7 +113,7 @@
 	case "ok":
 		return nil
 	case "done":
-		return duty.ErrDone
+		return duty.ErrAlreadyDone
 	case "fenced":
 		return duty.ErrFenced
 	}
@@ -162,7 +162,7 @@
 	case err == nil:
 		s.effects = append(s.effects, effect{time.Now(), name, c})
 		return "ok"
-	case errors.Is(err, duty.ErrDone):
+	case errors.Is(err, duty.ErrAlreadyDone):
 		s.repeats++
 		return "done"
 	default:
--- a/internal/cluster/seeds_test.go
+++ b/internal/cluster/seeds_test.go
@@ -249,7 +249,7 @@
 	if !s.calm && s.r.IntN(20) == 0 {
 		return // its acknowledgement is lost: the run is stopped at its deadline
 	}
-	if n.agent.Ended(s.steady(), *p.done, err) {
+	if n.agent.RunEnded(s.steady(), *p.done, err) {
 		_ = n.m.Propose(duty.Done{Claim: *p.done}) // if it is lost, it is proposed again
 	}
 }
@@ -340,7 +340,7 @@
 		switch e := e.(type) {
 		case duty.Tick:
 			if k := slices.Index(e.Heard, n.name); k >= 0 {
-				n.agent.Ticked(e.At[k])
+				n.agent.RenewLease(e.At[k])
 			}
 		case duty.Join:
 			n.joined = n.joined || e.Member == n.name && e.Incarnation == n.life
@@ -360,9 +360,9 @@
 	state := n.m.State()
 	stop, _ := n.agent.Stop(s.steady(), state)
 	for _, c := range stop {
-		n.agent.Ended(s.steady(), c, errors.New("stopped"))
+		n.agent.RunEnded(s.steady(), c, errors.New("stopped"))
 	}
-	for _, c := range n.agent.Again(s.steady(), state) {
+	for _, c := range n.agent.Repropose(s.steady(), state) {
 		s.say("%s proposes again that %+v is done", n.name, c)
 		_ = n.m.Propose(duty.Done{Claim: c})
 	}
@@ -433,8 +433,8 @@
 		return
 	}
 	for _, d := range ds {
-		if d.Owed > 1 {
-			s.failf("%s: %d periods owed at the end", d.Spec.Name, d.Owed)
+		if d.Pending > 1 {
+			s.failf("%s: %d periods owed at the end", d.Spec.Name, d.Pending)
 		}
 		done := 0
 		low, high := int64(1)<<62, int64(0)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -276,9 +276,9 @@
 		Gap:      r.num("plan.gap", 1e-3, 1e-6, 0.1),
 		Blocking: r.num("plan.blocking", 0.2, 0.001, 0.9),
 		Costs:    plan.Costs{Tandem: r.num("plan.tandem_cost", 0.02, 0, 1e6), Yard: r.num("plan.yard_cost", 0.01, 0, 1e6)},
-		Replan: replan.Settings{Every: sec("every_s", 60, 1, 86400), Valid: sec("valid_s", 600, 5, 86400),
-			Margin: r.num("plan.margin", 0.01, 1e-6, 10), Confirm: r.whole("plan.confirm", 2, 1, 100),
-			Cool: sec("cool_s", 120, 1, 86400), Memory: sec("memory_s", 120, 1, 86400), MostSeen: r.whole("plan.max_flows", 4096, 1, 1<<20)},
+		Replan: replan.Settings{Interval: sec("every_s", 60, 1, 86400), Validity: sec("valid_s", 600, 5, 86400),
+			Margin: r.num("plan.margin", 0.01, 1e-6, 10), Confirmations: r.whole("plan.confirm", 2, 1, 100),
+			Cooldown: sec("cool_s", 120, 1, 86400), Memory: sec("memory_s", 120, 1, 86400), MaxFlows: r.whole("plan.max_flows", 4096, 1, 1<<20)},
 	}
 	if p.File == "" && !p.Measure {
 		r.fail("plan.file", "missing, and plan.measure is not true: there would be no plan")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -137,8 +137,8 @@
 		t.Fatal(err)
 	}
 	want := &planner.Settings{File: filepath.Join(filepath.Dir(path), "plan.json"), Deadline: 20 * time.Second, Gap: 1e-3, Blocking: 0.2,
-		Costs: plan.Costs{Tandem: 0.02, Yard: 0.01}, Replan: replan.Settings{Every: 30 * time.Second, Valid: 10 * time.Minute, Margin: 0.01,
-			Confirm: 2, Cool: 2 * time.Minute, Memory: 2 * time.Minute, MostSeen: 4096}}
+		Costs: plan.Costs{Tandem: 0.02, Yard: 0.01}, Replan: replan.Settings{Interval: 30 * time.Second, Validity: 10 * time.Minute, Margin: 0.01,
+			Confirmations: 2, Cooldown: 2 * time.Minute, Memory: 2 * time.Minute, MaxFlows: 4096}}
 	if diff := cmp.Diff(want, s.Plan); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
--- a/internal/planner/file.go
+++ b/internal/planner/file.go
@@ -118,8 +118,8 @@
 func (f *File) For(base *plan.Problem) error {
 	b := *base
 	b.Target, b.Costs = f.Problem.Target, f.Problem.Costs // of the plan, not of the inventory
-	if !replan.SameMesh(&b, f.Problem) {
-		return replan.ErrOther
+	if !replan.SameExceptDemand(&b, f.Problem) {
+		return replan.ErrOtherInventory
 	}
 	return nil
 }
--- a/internal/planner/file_test.go
+++ b/internal/planner/file_test.go
@@ -54,7 +54,7 @@
 	}
 	other := three()
 	other.Groups[0].Circuits++
-	if got.For(other) != replan.ErrOther {
+	if got.For(other) != replan.ErrOtherInventory {
 		t.Error("a plan for another inventory")
 	}
 	for _, c := range []struct{ from, to, want string }{
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -96,7 +96,7 @@
 	}
 	if here := ids[l.set.Here]; l.p == nil || here != l.here {
 		s := l.set.Replan
-		s.Here, l.here = here, here
+		s.OwnSwitch, l.here = here, here
 		version := uint64(time.Now().UnixNano()) // above those of a planner before
 		if l.p != nil {
 			l.tell(brain.Planned{Version: version}, time.Now())
@@ -106,7 +106,7 @@
 	if l.here == "" {
 		l.log.Warn("no switch of the inventory is the own exchange: a plan has nothing to say here", "exchange", l.set.Here)
 	}
-	l.act(l.p.Inventory(l.now(), &p))
+	l.act(l.p.SetInventory(l.now(), &p))
 	if l.set.File == "" {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	if left <= 0 {
 		return errors.New("the plan's time is over")
 	}
-	acts, err := l.p.Take(l.now(), f.Problem, f.Answer, f.Gap, left)
+	acts, err := l.p.Import(l.now(), f.Problem, f.Answer, f.Gap, left)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 		case o := <-l.done:
 			l.mu.Lock()
 			l.late = nil
-			l.act(l.p.Solved(l.now(), o.ticket, o.a, o.err))
+			l.act(l.p.HandleSolved(l.now(), o.ticket, o.a, o.err))
 			l.mu.Unlock()
 		case <-ctx.Done():
 			l.mu.Lock()
@@ -207,11 +207,11 @@
 		case replan.Withdraw:
 			l.tell(brain.Planned{Version: a.Version}, time.Now())
 			l.log.Info("plan withdrawn", "version", a.Version)
-		case replan.Note:
+		case replan.Log:
 			if a.Err != nil {
 				l.log.Warn(a.Text, "error", a.Err)
 			} else {
-				l.log.Info(a.Text, "old_worth", a.Old, "new_worth", a.New, "won", a.Won)
+				l.log.Info(a.Text, "old_worth", a.OldWorth, "new_worth", a.NewWorth, "won", a.Confirmations)
 			}
 		}
 	}
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -89,7 +89,7 @@
 	}
 	other := three()
 	other.Groups[0].Circuits = 50
-	if err := l.Inventory(other, ids); !errors.Is(err, replan.ErrOther) {
+	if err := l.Inventory(other, ids); !errors.Is(err, replan.ErrOtherInventory) {
 		t.Error(err)
 	}
 	e2, n := h.last()
@@ -118,7 +118,7 @@
 // Measured demand brings a plan into force while calls go on; a solve that takes too
 // long leaves things as they are.
 func TestMeasured(t *testing.T) {
-	quick := replan.Settings{Every: time.Second, Memory: time.Second, Known: 0.5}
+	quick := replan.Settings{Interval: time.Second, Memory: time.Second, MinCoverage: 0.5}
 	for _, c := range []struct {
 		deadline time.Duration
 		want     string
