--- a/cmd/violetspan/plan.go
+++ b/cmd/violetspan/plan.go
@@ -43,14 +43,14 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Deadline)
 	defer cancel()
 	a, err := plan.Solve(p, plan.Options{Gap: c.Gap, Stop: func() bool { return ctx.Err() != nil }})
-	if no := planner.None(err); no != nil {
-		return errors.Join(planner.ExplainNone(os.Stdout, no), errors.New("no answer fits"))
+	if no := planner.AsInfeasible(err); no != nil {
+		return errors.Join(planner.ExplainInfeasible(os.Stdout, no), errors.New("no answer fits"))
 	}
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		f := &planner.File{Made: time.Now().UTC(), ValidS: c.Valid.Seconds(), Gap: max(c.Gap, 1e-6), Problem: p, Answer: a}
+		f := &planner.File{CreatedAt: time.Now().UTC(), ValidSeconds: c.Valid.Seconds(), Gap: max(c.Gap, 1e-6), Problem: p, Answer: a}
 		if err := f.Write(c.Out); err != nil {
 			return err
 		}
@@ -73,11 +73,11 @@
 		if err != nil {
 			return fmt.Errorf("%w: %w", errConfig, err)
 		}
-		if err := f.For(&inv.Plan); err != nil {
+		if err := f.CheckInventory(&inv.Plan); err != nil {
 			return fmt.Errorf("%s: %w", c.Plan, err)
 		}
 	}
-	fmt.Printf("%s: holds: worth %.6g/s, bound %.6g, gap %.3g, valid for %v more\n", c.Plan, f.Answer.Worth, f.Answer.Bound, f.Answer.Gap, f.Left(time.Now()).Round(time.Second))
+	fmt.Printf("%s: holds: worth %.6g/s, bound %.6g, gap %.3g, valid for %v more\n", c.Plan, f.Answer.Worth, f.Answer.Bound, f.Answer.Gap, f.Remaining(time.Now()).Round(time.Second))
 	return nil
 }
 
--- a/internal/planner/explain.go
+++ b/internal/planner/explain.go
@@ -65,8 +65,8 @@
 	return e.err
 }
 
-// ExplainNone writes why no answer fits.
-func ExplainNone(w io.Writer, no *plan.Infeasible) error {
+// ExplainInfeasible writes why no answer fits.
+func ExplainInfeasible(w io.Writer, no *plan.Infeasible) error {
 	e := &printer{w: w}
 	e.line("no answer fits. These contradict each other; without any one of them the rest fit:")
 	for _, c := range no.Conflict {
@@ -129,8 +129,8 @@
 	return s
 }
 
-// None returns the Infeasible in an error, or nil.
-func None(err error) *plan.Infeasible {
+// AsInfeasible returns the Infeasible in an error, or nil.
+func AsInfeasible(err error) *plan.Infeasible {
 	var no *plan.Infeasible
 	errors.As(err, &no)
 	return no
--- a/internal/planner/file.go
+++ b/internal/planner/file.go
@@ -21,13 +21,13 @@
 
 // File is a plan as it is kept: the answer with the problem that it answers.
 type File struct {
-	Format  int           `json:"format"`
-	Made    time.Time     `json:"made"`
-	ValidS  float64       `json:"valid_s"` // from Made on, seconds
-	Gap     float64       `json:"gap"`     // that was asked for
-	Sum     string        `json:"sha256"`  // of problem and answer, against slips
-	Problem *plan.Problem `json:"problem"`
-	Answer  *plan.Answer  `json:"answer"`
+	Format       int           `json:"format"`
+	CreatedAt    time.Time     `json:"made"`
+	ValidSeconds float64       `json:"valid_s"` // from Made on, seconds
+	Gap          float64       `json:"gap"`     // that was asked for
+	Checksum     string        `json:"sha256"`  // of problem and answer, against slips
+	Problem      *plan.Problem `json:"problem"`
+	Answer       *plan.Answer  `json:"answer"`
 }
 
 const (
@@ -47,7 +47,7 @@
 // Write puts a plan into a file, all or nothing.
 func (f *File) Write(path string) (err error) {
 	f.Format = format
-	if f.Sum, err = f.sum(); err != nil {
+	if f.Checksum, err = f.sum(); err != nil {
 		return fmt.Errorf("plan: %w", err)
 	}
 	b, err := api.MarshalIndent(f, "", " ")
@@ -92,12 +92,12 @@
 		return nil, bad("problem", "missing")
 	case f.Answer == nil:
 		return nil, bad("answer", "missing")
-	case !(f.ValidS > 0 && f.ValidS <= maxDays*86400):
-		return nil, bad("valid_s", fmt.Sprintf("%v is not above 0 and at most %d days", f.ValidS, maxDays))
+	case !(f.ValidSeconds > 0 && f.ValidSeconds <= maxDays*86400):
+		return nil, bad("valid_s", fmt.Sprintf("%v is not above 0 and at most %d days", f.ValidSeconds, maxDays))
 	case !(f.Gap >= 0 && f.Gap <= 0.5):
 		return nil, bad("gap", fmt.Sprintf("%v is not from 0 to 0.5", f.Gap))
 	}
-	if sum, err := f.sum(); err != nil || sum != f.Sum {
+	if sum, err := f.sum(); err != nil || sum != f.Checksum {
 		return nil, bad("sha256", "the file was changed after it was written")
 	}
 	if errs := f.Problem.Check(); len(errs) > 0 {
@@ -109,13 +109,13 @@
 	return f, nil
 }
 
-// Left is how long a plan still holds.
-func (f *File) Left(now time.Time) time.Duration {
-	return f.Made.Add(time.Duration(f.ValidS * float64(time.Second))).Sub(now)
+// Remaining is how long a plan still holds.
+func (f *File) Remaining(now time.Time) time.Duration {
+	return f.CreatedAt.Add(time.Duration(f.ValidSeconds * float64(time.Second))).Sub(now)
 }
 
-// For returns an error if a plan is not for an inventory.
-func (f *File) For(base *plan.Problem) error {
+// CheckInventory returns an error if a plan is not for an inventory.
+func (f *File) CheckInventory(base *plan.Problem) error {
 	b := *base
 	b.Target, b.Costs = f.Problem.Target, f.Problem.Costs // of the plan, not of the inventory
 	if !replan.SameExceptDemand(&b, f.Problem) {
--- a/internal/planner/file_test.go
+++ b/internal/planner/file_test.go
@@ -33,7 +33,7 @@
 // kept is a solved plan's file and its bytes.
 func kept(t testing.TB, p *plan.Problem) (path string, b []byte) {
 	path = filepath.Join(t.TempDir(), "plan.json")
-	if err := (&File{Made: time.Unix(1000, 0).UTC(), ValidS: 60, Gap: 1e-6, Problem: p, Answer: solved(t, p)}).Write(path); err != nil {
+	if err := (&File{CreatedAt: time.Unix(1000, 0).UTC(), ValidSeconds: 60, Gap: 1e-6, Problem: p, Answer: solved(t, p)}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(path)
@@ -49,12 +49,12 @@
 	p := three()
 	path, b := kept(t, p)
 	got, err := Read(path)
-	if err != nil || got.Left(time.Unix(1010, 0)) != 50*time.Second || got.For(p) != nil {
+	if err != nil || got.Remaining(time.Unix(1010, 0)) != 50*time.Second || got.CheckInventory(p) != nil {
 		t.Fatal(err, got)
 	}
 	other := three()
 	other.Groups[0].Circuits++
-	if got.For(other) != replan.ErrOtherInventory {
+	if got.CheckInventory(other) != replan.ErrOtherInventory {
 		t.Error("a plan for another inventory")
 	}
 	for _, c := range []struct{ from, to, want string }{
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -114,10 +114,10 @@
 	if err != nil {
 		return err
 	}
-	if err := f.For(&p); err != nil {
+	if err := f.CheckInventory(&p); err != nil {
 		return err
 	}
-	left := f.Left(time.Now())
+	left := f.Remaining(time.Now())
 	if left <= 0 {
 		return errors.New("the plan's time is over")
 	}
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -64,7 +64,7 @@
 	p := three()
 	write := func(p *plan.Problem, valid float64) {
 		t.Helper()
-		if err := (&File{Made: time.Now().UTC(), ValidS: valid, Gap: 1e-6, Problem: p, Answer: solved(t, p)}).Write(path); err != nil {
+		if err := (&File{CreatedAt: time.Now().UTC(), ValidSeconds: valid, Gap: 1e-6, Problem: p, Answer: solved(t, p)}).Write(path); err != nil {
 			t.Fatal(err)
 		}
 	}
