--- a/decide/duty/agent.go
+++ b/decide/duty/agent.go
@@ -8,214 +8,224 @@
 	"time"
 )
 
-// Agent is an instance's own part: it says which claims to start. Its times are those
-// of the instance's steady clock, which counts on while the process is stopped.
+// Agent is the local part of one instance: it decides which claims to start and which
+// runs to stop. Its times are those of the instance's monotonic clock, which must keep
+// counting while the process is suspended.
 type Agent struct {
-	id      string
-	cfg     Config
-	most    int // runs at once
-	seen    time.Duration
-	any     bool
-	running map[Claim]running
-	ended   map[Claim]time.Duration // carried out here, and when that was last proposed
-	pauses  map[string]pause        // of duties whose last run failed here
-	hung    map[string]bool         // duties of which a run was given up and goes on
+	id         string
+	cfg        Config
+	maxRuns    int // maximum number of concurrent runs
+	leaseStart time.Duration
+	leased     bool // a lease was granted; it may have expired
+	running    map[Claim]run
+	proposedAt map[Claim]time.Duration // of claims executed here: when Done was last proposed
+	backoffs   map[string]backoff      // by duty whose last run failed here
+	hung       map[string]bool         // duties with a run that was given up and has not ended
 }
 
-// running is a run under way.
-type running struct {
-	since   time.Duration
-	stopped time.Duration // when it was to stop
-	stop    bool          // it was told
+// run is the state of a run in progress.
+type run struct {
+	startedAt       time.Duration
+	stopRequestedAt time.Duration
+	stopRequested   bool
 }
 
-// hangLeases is how many leases a run may go on after it was told to stop.
-const hangLeases = 3
+// hungAfterLeases is how long, in leases, a run may continue after it was told to stop
+// before it is given up.
+const hungAfterLeases = 3
 
-// pause is a wait that doubles with each failure, so that a duty that always fails
-// does not keep the pool from the others.
-type pause struct{ gap, until time.Duration }
+// backoff is a retry delay that doubles with each failure, so that a duty that always
+// fails does not occupy the pool at the expense of the others.
+type backoff struct{ delay, until time.Duration }
 
-// A pause is from an eighth of a lease to eight leases.
-const pauseParts = 8
+// backoffRange limits the retry delay: it is at least Lease/backoffRange, an eighth of a
+// lease, and at most Lease*backoffRange, eight leases.
+const backoffRange = 8
 
-// NewAgent returns the part of an instance that may run so many duties at once.
-func NewAgent(id string, cfg Config, most int) *Agent {
-	return &Agent{id: id, cfg: cfg, most: max(1, most), running: map[Claim]running{}, ended: map[Claim]time.Duration{}, pauses: map[string]pause{}, hung: map[string]bool{}}
+// NewAgent returns the agent of instance id, which runs at most maxRuns duties at once.
+func NewAgent(id string, cfg Config, maxRuns int) *Agent {
+	return &Agent{id: id, cfg: cfg, maxRuns: max(1, maxRuns), running: map[Claim]run{}, proposedAt: map[Claim]time.Duration{}, backoffs: map[string]backoff{}, hung: map[string]bool{}}
 }
 
-// RenewLease notes that a tick of the log in which this instance was heard was applied, and
-// when it had spoken, by its own steady clock: the lease counts from there and not from
-// the tick's arrival, which may be late.
-func (a *Agent) RenewLease(spoke time.Duration) { a.seen, a.any = max(a.seen, spoke), true }
+// RenewLease must be called when a tick that lists this instance as heard was applied.
+// sentAt is when the instance sent the message that was heard, by its own monotonic
+// clock: the lease counts from then and not from the tick's arrival, which may be late.
+func (a *Agent) RenewLease(sentAt time.Duration) {
+	a.leaseStart, a.leased = max(a.leaseStart, sentAt), true
+}
 
-// HasLease says whether the instance may act on what the state says it owns.
-func (a *Agent) HasLease(now time.Duration) bool { return a.any && now < a.seen+a.cfg.Lease }
+// HasLease reports whether the instance may run the duties that it owns by the state.
+func (a *Agent) HasLease(now time.Duration) bool { return a.leased && now < a.leaseStart+a.cfg.Lease }
 
-// Start returns the claims to start now and notes them as running. Without a lease
-// there are none. A duty runs once at a time, oldest period first; one of which a run
-// hangs here is not started here again.
+// Start returns the claims to start now and records them as running. Without a lease
+// there are none. Each duty has at most one run at a time, oldest period first; a duty
+// with a hung run on this instance is not started.
 func (a *Agent) Start(now time.Duration, s *State) []Claim {
 	if !a.HasLease(now) {
 		return nil
 	}
 	due := s.Due(a.id)
-	for c := range a.ended {
+	for c := range a.proposedAt {
 		if !slices.Contains(due, c) {
-			delete(a.ended, c) // the log knows, or another owns it
+			delete(a.proposedAt, c) // Done is in the log, or another instance owns the duty
 		}
 	}
-	for n := range a.pauses {
+	for n := range a.backoffs {
 		if !slices.ContainsFunc(due, func(c Claim) bool { return c.Duty == n }) {
-			delete(a.pauses, n)
+			delete(a.backoffs, n)
 		}
 	}
-	var out []Claim
+	var claims []Claim
 	for _, c := range due {
-		if len(a.running) >= a.most {
+		if len(a.running) >= a.maxRuns {
 			break
 		}
-		on := a.hung[c.Duty]
+		busy := a.hung[c.Duty]
 		for o := range a.running {
-			on = on || o.Duty == c.Duty
+			busy = busy || o.Duty == c.Duty
 		}
-		if _, over := a.ended[c]; !on && !over && now >= a.pauses[c.Duty].until {
-			a.running[c] = running{since: now}
-			out = append(out, c)
+		if _, completed := a.proposedAt[c]; !busy && !completed && now >= a.backoffs[c.Duty].until {
+			a.running[c] = run{startedAt: now}
+			claims = append(claims, c)
 		}
 	}
-	return out
+	return claims
 }
 
-// Stop returns the claims whose runs are to be told to stop now: past their deadline, or
-// no longer this instance's; and those that were told leases ago and go on. These are
-// given up: their places are others', and their duties rest here until Back.
+// Stop returns in stop the claims whose runs must be told to stop now: those past their
+// deadline or no longer owned by this instance. It returns in hung those that were told
+// to stop hungAfterLeases leases ago and still run. These are given up: they no longer
+// count toward the limit of concurrent runs, and their duties are not started on this
+// instance until HungRunEnded.
 func (a *Agent) Stop(now time.Duration, s *State) (stop, hung []Claim) {
 	due := s.Due(a.id)
 	for c, r := range a.running {
-		t := s.duties[c.Duty]
+		d := s.duties[c.Duty]
 		switch {
-		case r.stop && now >= r.stopped+hangLeases*a.cfg.Lease:
+		case r.stopRequested && now >= r.stopRequestedAt+hungAfterLeases*a.cfg.Lease:
 			hung = append(hung, c)
 			delete(a.running, c)
 			a.hung[c.Duty] = true
-		case !r.stop && (t == nil || now >= r.since+t.spec.Deadline || !slices.Contains(due, c)):
+		case !r.stopRequested && (d == nil || now >= r.startedAt+d.spec.Deadline || !slices.Contains(due, c)):
 			stop = append(stop, c)
-			r.stop, r.stopped = true, now
+			r.stopRequested, r.stopRequestedAt = true, now
 			a.running[c] = r
 		}
 	}
-	slices.SortFunc(stop, compare)
-	slices.SortFunc(hung, compare)
+	slices.SortFunc(stop, compareClaims)
+	slices.SortFunc(hung, compareClaims)
 	return stop, hung
 }
 
-func compare(a, b Claim) int {
+func compareClaims(a, b Claim) int {
 	return cmp.Or(cmp.Compare(a.Duty, b.Duty), cmp.Compare(a.Series, b.Series), cmp.Compare(a.Period, b.Period), cmp.Compare(a.Epoch, b.Epoch))
 }
 
-// RunEnded takes in how a run ended at its sink. It says whether Done is to be proposed:
-// where the effect is there, by this run or another.
+// RunEnded records the result of a run at its sink. It reports whether Done must be
+// proposed: if the effect has taken place, by this run or another.
 func (a *Agent) RunEnded(now time.Duration, c Claim, err error) (propose bool) {
 	delete(a.running, c)
 	if err == nil || errors.Is(err, ErrAlreadyDone) {
-		a.ended[c] = now
-		delete(a.pauses, c.Duty)
+		a.proposedAt[c] = now
+		delete(a.backoffs, c.Duty)
 		return true
 	}
-	if !errors.Is(err, ErrFenced) { // it is started again if it is still due here
-		p := a.pauses[c.Duty]
-		p.gap = min(max(2*p.gap, a.cfg.Lease/pauseParts), a.cfg.Lease*pauseParts)
-		p.until = now + p.gap
-		a.pauses[c.Duty] = p
+	if !errors.Is(err, ErrFenced) { // retried after a delay if still due on this instance
+		b := a.backoffs[c.Duty]
+		b.delay = min(max(2*b.delay, a.cfg.Lease/backoffRange), a.cfg.Lease*backoffRange)
+		b.until = now + b.delay
+		a.backoffs[c.Duty] = b
 	}
 	return false
 }
 
-// HungRunEnded says that a run that was given up has ended after all.
+// HungRunEnded records that a run that was given up has ended.
 func (a *Agent) HungRunEnded(c Claim) { delete(a.hung, c.Duty) }
 
-// Repropose returns claims that were carried out here a lease ago or longer and are due
-// still: what was proposed of them was lost on its way, and is to be proposed again.
+// Repropose returns claims for which Done must be proposed again: they were executed on
+// this instance, Done was last proposed at least a lease ago, and they are still due, so
+// the proposal was lost.
 func (a *Agent) Repropose(now time.Duration, s *State) []Claim {
-	var out []Claim
+	var claims []Claim
 	for _, c := range s.Due(a.id) {
-		if at, over := a.ended[c]; over && now >= at+a.cfg.Lease {
-			a.ended[c] = now
-			out = append(out, c)
+		if at, completed := a.proposedAt[c]; completed && now >= at+a.cfg.Lease {
+			a.proposedAt[c] = now
+			claims = append(claims, c)
 		}
 	}
-	return out
+	return claims
 }
 
 // Errors of a Sink.
 var (
-	ErrFenced      = errors.New("duty: another owner has come since")
-	ErrAlreadyDone = errors.New("duty: the period is done")
+	ErrFenced      = errors.New("duty: fenced by a later owner")
+	ErrAlreadyDone = errors.New("duty: period already done")
 )
 
-// Sink is the fence. It must be kept where the effect lands, and be changed in one
-// step with it: what Accept lets pass happens, and what it refuses does not.
+// Sink is the fence. It must be stored where the effect takes place and be updated
+// atomically with it: the effect takes place if and only if Accept returns nil.
 //
-// It remembers keepDuties duties; the one that was quiet for longest is forgotten for
-// another, and claims under its epoch or a lower one for duties that are not remembered
-// are fenced from then on. Epochs rise over all duties, so an owner of later is not.
+// It remembers maxSinkDuties duties. When there are more, the least recently used one is
+// evicted; from then on, claims for unknown duties are fenced if their epoch is not above
+// that of the evicted duty. Later owners are not affected, because epochs increase across
+// all duties.
 type Sink struct {
-	duties map[string]*fence
-	floor  uint64 // highest epoch of those forgotten
-	asked  uint64
+	duties          map[string]*fence
+	maxEvictedEpoch uint64 // of the evicted duties
+	uses            uint64
 }
 
 type fence struct {
-	series, epoch, asked uint64
-	done                 map[int64]bool
-	upTo                 int64 // all periods up to this one are done or will not be taken any more
+	series, epoch, lastUse uint64
+	done                   map[int64]bool
+	doneThrough            int64 // all periods up to this one are done or no longer accepted
 }
 
-// Bounds of a sink: duties, and periods of each beyond upTo.
+// Limits of a Sink: duties, and done periods of each after doneThrough.
 const (
-	keepDuties = 2 * MaxDuties
-	keepDone   = 1024
+	maxSinkDuties  = 2 * MaxDuties
+	maxSinkPeriods = 1024
 )
 
-// NewSink returns a sink that has seen nothing.
+// NewSink returns an empty Sink.
 func NewSink() *Sink { return &Sink{duties: map[string]*fence{}} }
 
-// Accept takes a claim, once: nil means that the effect may happen now.
+// Accept checks a claim and records it as done. It returns nil, at most once per period,
+// if the effect must take place now, and else ErrFenced or ErrAlreadyDone.
 func (k *Sink) Accept(c Claim) error {
 	f := k.duties[c.Duty]
-	if f == nil && c.Epoch <= k.floor || f != nil && (c.Epoch < f.epoch || c.Series < f.series) {
+	if f == nil && c.Epoch <= k.maxEvictedEpoch || f != nil && (c.Epoch < f.epoch || c.Series < f.series) {
 		return fmt.Errorf("%w: %s under epoch %d", ErrFenced, c.Duty, c.Epoch)
 	}
 	if f == nil || c.Series > f.series {
-		f = &fence{series: c.Series, done: map[int64]bool{}, upTo: c.Period - 1 - keepDone}
+		f = &fence{series: c.Series, done: map[int64]bool{}, doneThrough: c.Period - 1 - maxSinkPeriods}
 		k.duties[c.Duty] = f
-		k.forget(c.Duty)
+		k.evict(c.Duty)
 	}
-	k.asked++
-	f.epoch, f.asked = c.Epoch, k.asked
-	if c.Period <= f.upTo || f.done[c.Period] {
+	k.uses++
+	f.epoch, f.lastUse = c.Epoch, k.uses
+	if c.Period <= f.doneThrough || f.done[c.Period] {
 		return fmt.Errorf("%w: %s period %d", ErrAlreadyDone, c.Duty, c.Period)
 	}
 	f.done[c.Period] = true
-	for len(f.done) > keepDone {
-		f.upTo++
-		delete(f.done, f.upTo)
+	for len(f.done) > maxSinkPeriods {
+		f.doneThrough++
+		delete(f.done, f.doneThrough)
 	}
 	return nil
 }
 
-// forget makes room, if there are too many, by the duty that was quiet for longest.
-func (k *Sink) forget(but string) {
-	if len(k.duties) <= keepDuties {
+// evict removes the least recently used duty other than except if there are too many.
+func (k *Sink) evict(except string) {
+	if len(k.duties) <= maxSinkDuties {
 		return
 	}
-	quiet := ""
+	leastRecent := ""
 	for n, f := range k.duties {
-		if n != but && (quiet == "" || f.asked < k.duties[quiet].asked) {
-			quiet = n
+		if n != except && (leastRecent == "" || f.lastUse < k.duties[leastRecent].lastUse) {
+			leastRecent = n
 		}
 	}
-	k.floor = max(k.floor, k.duties[quiet].epoch)
-	delete(k.duties, quiet)
+	k.maxEvictedEpoch = max(k.maxEvictedEpoch, k.duties[leastRecent].epoch)
+	delete(k.duties, leastRecent)
 }
--- a/decide/duty/duty.go
+++ b/decide/duty/duty.go
@@ -1,11 +1,11 @@
-// Package duty divides periodic duties among instances. State is the replicated part:
-// entries of a log go in, in order, and all instances that apply the same entries hold
-// the same state. Agent is an instance's own part: what it may start now. Sink is the
-// fence, to be kept where a duty's effect lands. None of them does I/O or has a clock.
-// docs/cluster.md says what 'once' means.
+// Package duty distributes periodic duties among instances. State is the replicated
+// part: instances that apply the same log entries in the same order have the same state.
+// Agent is the local part of one instance: it decides which runs to start and stop. Sink
+// is the fence, kept where a duty's effect takes place. None of them does I/O or reads a
+// clock. docs/cluster.md defines what "once" means.
 //
-// Times are durations since an origin that the host chooses; the log's own time is that
-// of its ticks. Nothing here may be used by two goroutines at once.
+// Times are durations since an origin that the host chooses; the log's time is set by its
+// ticks. Nothing in this package is safe for concurrent use.
 package duty
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a state.
+// Limits of a State.
 const (
 	MaxMembers = 64
 	MaxDuties  = 4096
@@ -27,20 +27,21 @@
 	MaxLoad    = 1_000_000
 )
 
-// Spec is what is set of a duty.
+// Spec is the configuration of a duty.
 type Spec struct {
 	Name     string
-	Period   time.Duration // 100 ms or more
-	Deadline time.Duration // a run that takes longer is stopped; 0: the period
-	Load     int           // of one run, against other duties; 0 counts as 1
-	MakeUp   bool          // missed periods are made up, oldest first, up to MostMissed
-	// MostMissed bounds what is made up; older periods are skipped. 0: 16.
+	Period   time.Duration // at least 100 ms
+	Deadline time.Duration // longer runs are stopped; 0 means Period
+	Load     int           // of one run, relative to other duties; 0 means 1
+	MakeUp   bool          // run missed periods later, oldest first, up to MostMissed of them
+	// MostMissed is the maximum number of missed periods to make up; older ones are
+	// skipped. 0 means 16.
 	MostMissed int
-	Sink       string // where the fence is checked; "none": nowhere, it may be done twice
+	Sink       string // where the fence is checked; "none": nowhere, a period may be done twice
 }
 
-// filled is a specification with its defaults.
-func (s Spec) filled() Spec {
+// withDefaults returns s with defaults for unset fields.
+func (s Spec) withDefaults() Spec {
 	if s.Load == 0 {
 		s.Load = 1
 	}
@@ -53,41 +54,44 @@
 	return s
 }
 
-// Config is set once for all instances of a log.
+// Config must be the same for all instances of a log.
 type Config struct {
-	Lease   time.Duration // an instance that is not heard for so long loses its duties
-	MaxStep time.Duration // the most that one tick moves the log's time; 0: the lease
+	Lease   time.Duration // an instance not heard from for this long loses its duties
+	MaxStep time.Duration // the maximum by which one tick advances the log's time; 0 means Lease
 }
 
-// Entry is what a log holds.
+// Entry is an entry of the log.
 type Entry interface{ isEntry() }
 
-// Join brings an instance. A higher incarnation of one that is there is a restart: its
-// duties get new epochs. A lower one is a stray of an earlier life and is ignored.
+// Join adds an instance. A higher incarnation of a known instance means that it restarted:
+// its duties get new epochs. An incarnation that is not higher comes from an earlier or the
+// current run of the process and is ignored.
 type Join struct {
 	Member      string
 	Incarnation uint64
 }
 
-// Leave takes an instance out.
+// Leave removes an instance.
 type Leave struct{ Member string }
 
-// Register sets a duty; one of the same name is replaced and keeps what was done.
+// Register adds a duty, or replaces the configuration of the duty of the same name. The
+// record of done periods is kept unless the period changes.
 type Register struct{ Spec Spec }
 
-// Remove ends a duty.
+// Remove removes a duty.
 type Remove struct{ Name string }
 
-// Tick is the leader's clock and the instances that it has heard since its last tick.
+// Tick carries the leader's clock and the instances heard from since its last tick.
 type Tick struct {
 	Now   time.Duration
 	Heard []string
-	// At holds, in the order of Heard, when each of them spoke, by its own steady clock:
-	// that is where its lease counts from for itself, however late the tick reaches it.
+	// At lists, in the order of Heard, when each instance sent its message, by its own
+	// monotonic clock. The instance counts its lease from that time, however late the tick
+	// reaches it.
 	At []time.Duration
 }
 
-// Done says that a claim was carried out at its sink, or found done there.
+// Done reports that a claim was executed at its sink or found already done there.
 type Done struct{ Claim Claim }
 
 func (Join) isEntry()     {}
@@ -97,63 +101,63 @@
 func (Tick) isEntry()     {}
 func (Done) isEntry()     {}
 
-// Claim is the right to do one duty's one period.
+// Claim is the right to execute one period of a duty.
 type Claim struct {
 	Duty   string
-	Series uint64 // rises when a duty of this name is set anew or its period changes
+	Series uint64 // increases when a duty of this name is added again or its period changes
 	Period int64  // number of the period since the log's origin
-	Epoch  uint64 // rises, over all duties, with each owner
+	Epoch  uint64 // increases, across all duties, with each change of owner
 }
 
-// Errors of Apply. An entry that brings one has changed nothing.
+// Errors of Apply. An entry that fails changes nothing.
 var (
-	ErrUnknown = errors.New("duty: not known")
-	ErrLimit   = errors.New("duty: no room for more")
-	ErrInvalid = errors.New("duty: a specification that can't be")
+	ErrUnknown = errors.New("duty: unknown")
+	ErrLimit   = errors.New("duty: limit reached")
+	ErrInvalid = errors.New("duty: invalid specification")
 )
 
 type member struct {
 	incarnation uint64
-	until       time.Duration // its lease, in the log's time
+	leaseEnd    time.Duration // in the log's time
 	live        bool
-	load        int // sum of its duties': whole, so that no order of sums matters
+	load        int // sum over its duties; an integer, so that the sum does not depend on the order
 }
 
-type task struct {
-	spec   Spec
-	owner  string // "": none
-	epoch  uint64
-	done   int64 // all periods up to this one are done or skipped
-	ahead  map[int64]bool
-	series uint64
+type dutyState struct {
+	spec        Spec
+	owner       string // "": none
+	epoch       uint64
+	doneThrough int64 // all periods up to this one are done or skipped
+	doneAhead   map[int64]bool
+	series      uint64
 }
 
-// State is the replicated part. The zero value is not usable; see New.
+// State is the replicated state. The zero value is not usable; see New.
 type State struct {
-	cfg     Config
-	now     time.Duration
-	ticked  bool
-	members map[string]*member
-	duties  map[string]*task
-	epochs  uint64 // the last one given, over all duties: it never falls, also not by Remove
-	moves   int
+	cfg       Config
+	now       time.Duration
+	ticked    bool
+	members   map[string]*member
+	duties    map[string]*dutyState
+	lastEpoch uint64 // last one assigned, across all duties; never decreases, not even on Remove
+	moves     int
 }
 
-// New returns a state without instances and duties.
+// New returns a State without instances and duties.
 func New(cfg Config) *State {
 	if cfg.MaxStep <= 0 {
 		cfg.MaxStep = cfg.Lease
 	}
-	return &State{cfg: cfg, members: map[string]*member{}, duties: map[string]*task{}}
+	return &State{cfg: cfg, members: map[string]*member{}, duties: map[string]*dutyState{}}
 }
 
-// Now is the log's time.
+// Now returns the log's time.
 func (s *State) Now() time.Duration { return s.now }
 
-// Moves is how often a duty that had an owner got another.
+// Moves returns how often a duty that had had an owner was assigned again.
 func (s *State) Moves() int { return s.moves }
 
-// Apply takes the log's next entry.
+// Apply applies the next entry of the log.
 func (s *State) Apply(e Entry) error {
 	switch e := e.(type) {
 	case Join:
@@ -163,27 +167,27 @@
 		if m == nil {
 			return fmt.Errorf("%w: instance %q", ErrUnknown, e.Member)
 		}
-		s.bury(e.Member)
+		s.deactivate(e.Member)
 		delete(s.members, e.Member)
-		s.assign()
+		s.assignUnowned()
 	case Register:
 		return s.register(e.Spec)
 	case Remove:
-		t := s.duties[e.Name]
-		if t == nil {
+		d := s.duties[e.Name]
+		if d == nil {
 			return fmt.Errorf("%w: duty %q", ErrUnknown, e.Name)
 		}
-		s.unload(t)
+		s.unassign(d)
 		delete(s.duties, e.Name)
 	case Tick:
 		s.tick(e)
 	case Done:
-		t := s.duties[e.Claim.Duty]
-		if t == nil {
+		d := s.duties[e.Claim.Duty]
+		if d == nil {
 			return fmt.Errorf("%w: duty %q", ErrUnknown, e.Claim.Duty)
 		}
-		if e.Claim.Series == t.series { // else its periods were numbered otherwise
-			t.finish(e.Claim.Period, s.current(t))
+		if e.Claim.Series == d.series { // otherwise the period number belongs to another series
+			d.markDone(e.Claim.Period, s.current(d))
 		}
 	default:
 		return fmt.Errorf("%w: entry %T", ErrUnknown, e)
@@ -201,12 +205,12 @@
 		return fmt.Errorf("%w: %d instances", ErrLimit, len(s.members))
 	case m != nil && e.Incarnation <= m.incarnation:
 		return nil
-	case m != nil: // it restarted: what it had begun is fenced
-		s.bury(e.Member)
+	case m != nil: // restarted: fence its earlier runs
+		s.deactivate(e.Member)
 	}
-	s.members[e.Member] = &member{incarnation: e.Incarnation, until: s.now + s.cfg.Lease, live: true}
-	s.assign()
-	s.level(e.Member)
+	s.members[e.Member] = &member{incarnation: e.Incarnation, leaseEnd: s.now + s.cfg.Lease, live: true}
+	s.assignUnowned()
+	s.rebalance(e.Member)
 	return nil
 }
 
@@ -215,97 +219,97 @@
 		spec.Deadline < 0 || spec.MostMissed < 0 {
 		return fmt.Errorf("%w: %+v", ErrInvalid, spec)
 	}
-	spec = spec.filled()
-	t := s.duties[spec.Name]
-	if t == nil {
+	spec = spec.withDefaults()
+	d := s.duties[spec.Name]
+	if d == nil {
 		if len(s.duties) >= MaxDuties {
 			return fmt.Errorf("%w: %d duties", ErrLimit, len(s.duties))
 		}
-		t = &task{spec: spec, ahead: map[int64]bool{}}
-		s.duties[spec.Name] = t
-		s.begin(t)
-	} else if t.spec.Period != spec.Period {
-		s.unload(t)
-		t.spec, t.ahead = spec, map[int64]bool{}
-		s.begin(t)
+		d = &dutyState{spec: spec, doneAhead: map[int64]bool{}}
+		s.duties[spec.Name] = d
+		s.startSeries(d)
+	} else if d.spec.Period != spec.Period {
+		s.unassign(d)
+		d.spec, d.doneAhead = spec, map[int64]bool{}
+		s.startSeries(d)
 	} else {
-		if m := s.members[t.owner]; m != nil {
-			m.load += spec.Load - t.spec.Load
+		if m := s.members[d.owner]; m != nil {
+			m.load += spec.Load - d.spec.Load
 		}
-		t.spec = spec
+		d.spec = spec
 	}
-	s.assign()
+	s.assignUnowned()
 	return nil
 }
 
-// begin numbers a duty's periods from now on. The present one is not owed: a part of
-// it had passed.
-func (s *State) begin(t *task) {
-	s.epochs++
-	t.series, t.done = s.epochs, s.current(t)
+// startSeries starts a new series of periods for a duty. The current period is not due,
+// because part of it has passed.
+func (s *State) startSeries(d *dutyState) {
+	s.lastEpoch++
+	d.series, d.doneThrough = s.lastEpoch, s.current(d)
 }
 
-// current is the number of the period that the log's time is in.
-func (s *State) current(t *task) int64 { return int64(s.now / t.spec.Period) }
+// current returns the number of the period that contains the log's time.
+func (s *State) current(d *dutyState) int64 { return int64(s.now / d.spec.Period) }
 
-// finish notes a period as done; a claim ahead of the log's time is not believed.
-func (t *task) finish(p, now int64) {
-	if p <= t.done || p > now+1 {
+// markDone records a period as done. A claim for a period after the next one is ignored.
+func (d *dutyState) markDone(period, current int64) {
+	if period <= d.doneThrough || period > current+1 {
 		return
 	}
-	t.ahead[p] = true
-	for t.ahead[t.done+1] {
-		t.done++
-		delete(t.ahead, t.done)
+	d.doneAhead[period] = true
+	for d.doneAhead[d.doneThrough+1] {
+		d.doneThrough++
+		delete(d.doneAhead, d.doneThrough)
 	}
 }
 
-// skip passes over what will not be made up.
-func (t *task) skip(now int64) {
-	keep := int64(1)
-	if t.spec.MakeUp {
-		keep = int64(t.spec.MostMissed)
+// skipMissed skips missed periods that will not be made up.
+func (d *dutyState) skipMissed(current int64) {
+	maxPending := int64(1)
+	if d.spec.MakeUp {
+		maxPending = int64(d.spec.MostMissed)
 	}
-	for t.done < now-keep || t.ahead[t.done+1] {
-		t.done++
-		delete(t.ahead, t.done)
+	for d.doneThrough < current-maxPending || d.doneAhead[d.doneThrough+1] {
+		d.doneThrough++
+		delete(d.doneAhead, d.doneThrough)
 	}
 }
 
 func (s *State) tick(e Tick) {
-	if !s.ticked { // the origin may be any time ago
+	if !s.ticked { // first tick: the origin may be any time ago
 		s.ticked = true
 		s.now = max(s.now, e.Now)
 		for _, m := range s.members {
-			m.until = s.now + s.cfg.Lease
+			m.leaseEnd = s.now + s.cfg.Lease
 		}
-		for _, t := range s.duties {
-			t.done = s.current(t)
+		for _, d := range s.duties {
+			d.doneThrough = s.current(d)
 		}
 	}
 	s.now = max(s.now, min(e.Now, s.now+s.cfg.MaxStep))
 	for _, id := range e.Heard {
 		if m := s.members[id]; m != nil {
-			m.until = s.now + s.cfg.Lease
-			if !m.live { // back, in the same life: it kept nothing
+			m.leaseEnd = s.now + s.cfg.Lease
+			if !m.live { // back after its lease expired, without a restart: it lost all its duties
 				m.live = true
-				s.assign()
-				s.level(id)
+				s.assignUnowned()
+				s.rebalance(id)
 			}
 		}
 	}
-	for _, id := range s.ids() {
-		if m := s.members[id]; m.live && m.until <= s.now {
-			s.bury(id)
+	for _, id := range s.memberIDs() {
+		if m := s.members[id]; m.live && m.leaseEnd <= s.now {
+			s.deactivate(id)
 		}
 	}
-	for _, t := range s.duties {
-		t.skip(s.current(t))
+	for _, d := range s.duties {
+		d.skipMissed(s.current(d))
 	}
-	s.assign()
+	s.assignUnowned()
 }
 
-func (s *State) ids() []string {
+func (s *State) memberIDs() []string {
 	ids := make([]string, 0, len(s.members))
 	for id := range s.members {
 		ids = append(ids, id)
@@ -314,7 +318,7 @@
 	return ids
 }
 
-func (s *State) names() []string {
+func (s *State) dutyNames() []string {
 	names := make([]string, 0, len(s.duties))
 	for n := range s.duties {
 		names = append(names, n)
@@ -323,80 +327,81 @@
 	return names
 }
 
-// bury takes an instance's duties from it.
-func (s *State) bury(id string) {
-	for _, t := range s.duties {
-		if t.owner == id {
-			t.owner = ""
+// deactivate marks an instance as not live and removes its duties from it.
+func (s *State) deactivate(id string) {
+	for _, d := range s.duties {
+		if d.owner == id {
+			d.owner = ""
 		}
 	}
 	s.members[id].live, s.members[id].load = false, 0
 }
 
-func (s *State) unload(t *task) {
-	if m := s.members[t.owner]; m != nil {
-		m.load -= t.spec.Load
+func (s *State) unassign(d *dutyState) {
+	if m := s.members[d.owner]; m != nil {
+		m.load -= d.spec.Load
 	}
-	t.owner = ""
+	d.owner = ""
 }
 
-// give makes an instance the owner, under a new epoch.
-func (s *State) give(t *task, id string) {
-	s.epochs++
-	t.owner, t.epoch = id, s.epochs
-	s.members[id].load += t.spec.Load
+// setOwner assigns a duty to an instance under a new epoch.
+func (s *State) setOwner(d *dutyState, id string) {
+	s.lastEpoch++
+	d.owner, d.epoch = id, s.lastEpoch
+	s.members[id].load += d.spec.Load
 }
 
-// rank orders instances for a duty where loads are alike.
-func rank(duty, id string) uint64 {
+// tieBreak orders instances of equal load for a duty, and duties of equal load for an
+// instance.
+func tieBreak(duty, id string) uint64 {
 	var n [8]byte
 	binary.LittleEndian.PutUint64(n[:], uint64(len(duty)))
-	d := xxhash.New()
-	_, _ = d.Write(n[:]) // a hash takes every write
-	_, _ = d.WriteString(duty)
-	_, _ = d.WriteString(id)
-	return d.Sum64()
+	digest := xxhash.New()
+	_, _ = digest.Write(n[:]) // hash writes never fail
+	_, _ = digest.WriteString(duty)
+	_, _ = digest.WriteString(id)
+	return digest.Sum64()
 }
 
-// assign gives duties without an owner to the least loaded live instances, the
-// heaviest duty first.
-func (s *State) assign() {
-	var free []*task
-	for _, n := range s.names() {
-		if t := s.duties[n]; t.owner == "" {
-			free = append(free, t)
+// assignUnowned assigns duties without an owner to the live instances of least load,
+// the duty of greatest load first.
+func (s *State) assignUnowned() {
+	var unowned []*dutyState
+	for _, n := range s.dutyNames() {
+		if d := s.duties[n]; d.owner == "" {
+			unowned = append(unowned, d)
 		}
 	}
-	slices.SortStableFunc(free, func(a, b *task) int { return cmp.Compare(b.spec.Load, a.spec.Load) })
-	ids := s.ids()
-	for _, t := range free {
+	slices.SortStableFunc(unowned, func(a, b *dutyState) int { return cmp.Compare(b.spec.Load, a.spec.Load) })
+	ids := s.memberIDs()
+	for _, d := range unowned {
 		best := ""
 		for _, id := range ids {
 			m := s.members[id]
 			if !m.live {
 				continue
 			}
-			if o := s.members[best]; best == "" || m.load < o.load || m.load == o.load && rank(t.spec.Name, id) < rank(t.spec.Name, best) {
+			if o := s.members[best]; best == "" || m.load < o.load || m.load == o.load && tieBreak(d.spec.Name, id) < tieBreak(d.spec.Name, best) {
 				best = id
 			}
 		}
 		if best == "" {
 			return
 		}
-		if t.epoch > 0 {
+		if d.epoch > 0 {
 			s.moves++
 		}
-		s.give(t, best)
+		s.setOwner(d, best)
 	}
 }
 
-// level moves duties to an instance that has come from the most loaded one, one at a
-// time, while that lowers the greater of the two loads.
-func (s *State) level(to string) {
+// rebalance moves duties from the live instance of greatest load to an instance that has
+// joined or come back, one at a time, as long as that reduces the greater of the two loads.
+func (s *State) rebalance(to string) {
 	for {
 		m := s.members[to]
 		from := ""
-		for _, id := range s.ids() {
+		for _, id := range s.memberIDs() {
 			if o := s.members[id]; o.live && (from == "" || o.load > s.members[from].load) {
 				from = id
 			}
@@ -404,74 +409,74 @@
 		if from == "" || from == to {
 			return
 		}
-		gap := s.members[from].load - m.load
-		var pick *task
-		for _, n := range s.names() { // the heaviest that fits in less than the gap
-			t := s.duties[n]
-			if t.owner == from && t.spec.Load < gap && (pick == nil || t.spec.Load > pick.spec.Load ||
-				t.spec.Load == pick.spec.Load && rank(n, to) < rank(pick.spec.Name, to)) {
-				pick = t
+		difference := s.members[from].load - m.load
+		var pick *dutyState
+		for _, n := range s.dutyNames() { // the greatest load that is less than the difference
+			d := s.duties[n]
+			if d.owner == from && d.spec.Load < difference && (pick == nil || d.spec.Load > pick.spec.Load ||
+				d.spec.Load == pick.spec.Load && tieBreak(n, to) < tieBreak(pick.spec.Name, to)) {
+				pick = d
 			}
 		}
 		if pick == nil {
 			return
 		}
-		s.unload(pick)
+		s.unassign(pick)
 		s.moves++
-		s.give(pick, to)
+		s.setOwner(pick, to)
 	}
 }
 
-// Due returns the claims that an instance may carry out by the log's time, oldest
-// period first for each duty, duties by name.
+// Due returns the claims that an instance may execute at the log's time, sorted by duty
+// name and then by period.
 func (s *State) Due(id string) []Claim {
-	var out []Claim
-	for _, n := range s.names() {
-		t := s.duties[n]
-		if t.owner != id {
+	var claims []Claim
+	for _, n := range s.dutyNames() {
+		d := s.duties[n]
+		if d.owner != id {
 			continue
 		}
-		for p := t.done + 1; p <= s.current(t); p++ {
-			if !t.ahead[p] {
-				out = append(out, Claim{n, t.series, p, t.epoch})
+		for period := d.doneThrough + 1; period <= s.current(d); period++ {
+			if !d.doneAhead[period] {
+				claims = append(claims, Claim{n, d.series, period, d.epoch})
 			}
 		}
 	}
-	return out
+	return claims
 }
 
-// MissingRegistrations returns the registrations that bring the state to what is wanted. Duties that
-// are not wanted stay: another instance may have set them.
-func (s *State) MissingRegistrations(want []Spec) []Register {
-	var out []Register
-	for _, w := range want {
-		if t := s.duties[w.Name]; t == nil || t.spec != w.filled() {
-			out = append(out, Register{w})
+// MissingRegistrations returns the registrations needed to bring the state to specs.
+// Duties that are not in specs stay: another instance may have registered them.
+func (s *State) MissingRegistrations(specs []Spec) []Register {
+	var missing []Register
+	for _, spec := range specs {
+		if d := s.duties[spec.Name]; d == nil || d.spec != spec.withDefaults() {
+			missing = append(missing, Register{spec})
 		}
 	}
-	return out
+	return missing
 }
 
-// Status is a duty as it stands.
+// Status is the current state of a duty.
 type Status struct {
 	Spec        Spec
 	Owner       string
 	Epoch       uint64
 	DoneThrough int64 // all periods up to this one are done or skipped
-	Pending     int   // periods that are due and not done
+	Pending     int   // number of periods due and not done
 }
 
-// Duties returns all duties by name.
+// Duties returns all duties, sorted by name.
 func (s *State) Duties() []Status {
-	var out []Status
-	for _, n := range s.names() {
-		t := s.duties[n]
-		out = append(out, Status{t.spec, t.owner, t.epoch, t.done, int(s.current(t)-t.done) - len(t.ahead)})
+	var duties []Status
+	for _, n := range s.dutyNames() {
+		d := s.duties[n]
+		duties = append(duties, Status{d.spec, d.owner, d.epoch, d.doneThrough, int(s.current(d)-d.doneThrough) - len(d.doneAhead)})
 	}
-	return out
+	return duties
 }
 
-// MemberStatus is an instance as the state has it.
+// MemberStatus is the current state of an instance.
 type MemberStatus struct {
 	Member      string
 	Incarnation uint64
@@ -479,12 +484,12 @@
 	Load        int
 }
 
-// Members returns all instances by name.
+// Members returns all instances, sorted by name.
 func (s *State) Members() []MemberStatus {
-	var out []MemberStatus
-	for _, id := range s.ids() {
+	var members []MemberStatus
+	for _, id := range s.memberIDs() {
 		m := s.members[id]
-		out = append(out, MemberStatus{id, m.incarnation, m.live, m.load})
+		members = append(members, MemberStatus{id, m.incarnation, m.live, m.load})
 	}
-	return out
+	return members
 }
--- a/decide/duty/duty_test.go
+++ b/decide/duty/duty_test.go
@@ -16,126 +16,127 @@
 
 var cfg = Config{Lease: 3 * sec}
 
-func must(t *testing.T, s *State, es ...Entry) {
+func mustApply(t *testing.T, s *State, entries ...Entry) {
 	t.Helper()
-	for _, e := range es {
+	for _, e := range entries {
 		if err := s.Apply(e); err != nil {
 			t.Fatalf("%+v: %v", e, err)
 		}
 	}
 }
 
-// many has n duties over instances m0, m1, ...
-func many(t *testing.T, duties, members int) *State {
+// newTestState returns a state with duties d0, d1, ... and instances m0, m1, ...
+func newTestState(t *testing.T, duties, members int) *State {
 	s := New(cfg)
 	for i := range duties {
-		must(t, s, Register{Spec{Name: fmt.Sprint("d", i), Period: 10 * sec, Load: 1 + i%7}})
+		mustApply(t, s, Register{Spec{Name: fmt.Sprint("d", i), Period: 10 * sec, Load: 1 + i%7}})
 	}
 	for i := range members {
-		must(t, s, Join{fmt.Sprint("m", i), 1})
+		mustApply(t, s, Join{fmt.Sprint("m", i), 1})
 	}
 	return s
 }
 
-// spread is the greatest load over the mean.
-func spread(s *State) float64 {
-	most, sum, n := 0, 0, 0
+// imbalance returns the greatest load divided by the mean load.
+func imbalance(s *State) float64 {
+	maxLoad, sum, n := 0, 0, 0
 	for _, m := range s.Members() {
 		if m.Live {
-			most, sum, n = max(most, m.Load), sum+m.Load, n+1
+			maxLoad, sum, n = max(maxLoad, m.Load), sum+m.Load, n+1
 		}
 	}
-	return float64(most) * float64(n) / float64(sum)
+	return float64(maxLoad) * float64(n) / float64(sum)
 }
 
-// A thousand duties over seven instances are spread well, also after instances went
-// and came, and few of them move.
+// A thousand duties are distributed evenly over seven instances, also after an instance
+// leaves and another joins, and few duties move.
 func TestSpreadAndMoves(t *testing.T) {
-	s := many(t, 1000, 7)
-	if v := spread(s); v > 1.25 {
-		t.Errorf("spread %.3f", v)
+	s := newTestState(t, 1000, 7)
+	if v := imbalance(s); v > 1.25 {
+		t.Errorf("imbalance %.3f", v)
 	}
-	moved := s.Moves()
-	must(t, s, Leave{"m3"})
-	if v, n := spread(s), s.Moves()-moved; v > 1.25 || n > 1000/7+40 {
-		t.Errorf("after one went: spread %.3f, %d moves", v, n)
+	before := s.Moves()
+	mustApply(t, s, Leave{"m3"})
+	if v, n := imbalance(s), s.Moves()-before; v > 1.25 || n > 1000/7+40 {
+		t.Errorf("after one instance left: imbalance %.3f, %d moves", v, n)
 	}
-	moved = s.Moves()
-	must(t, s, Join{"m9", 1})
-	if v, n := spread(s), s.Moves()-moved; v > 1.25 || n > 1000/7+40 {
-		t.Errorf("after one came: spread %.3f, %d moves", v, n)
+	before = s.Moves()
+	mustApply(t, s, Join{"m9", 1})
+	if v, n := imbalance(s), s.Moves()-before; v > 1.25 || n > 1000/7+40 {
+		t.Errorf("after one instance joined: imbalance %.3f, %d moves", v, n)
 	}
 }
 
-// What is made up and what is skipped, and what one may do who has no lease.
+// Which missed periods are made up and which are skipped, and which claims the agent
+// starts, stops and proposes again, with and without a lease.
 func TestPeriods(t *testing.T) {
 	s := New(cfg)
-	must(t, s, Register{Spec{Name: "up", Period: 10 * sec, MakeUp: true, MostMissed: 3}}, Register{Spec{Name: "now", Period: 10 * sec}}, Join{"a", 1},
+	mustApply(t, s, Register{Spec{Name: "up", Period: 10 * sec, MakeUp: true, MostMissed: 3}}, Register{Spec{Name: "now", Period: 10 * sec}}, Join{"a", 1},
 		Tick{Now: 1000 * sec, Heard: []string{"a"}})
 	if got := s.Due("a"); len(got) != 0 {
-		t.Errorf("%v: the period that was running is not owed", got)
+		t.Errorf("%v are due; the period in progress must not be", got)
 	}
 	for i := range 60 {
-		must(t, s, Tick{Now: time.Duration(1001+i) * sec, Heard: []string{"a"}})
+		mustApply(t, s, Tick{Now: time.Duration(1001+i) * sec, Heard: []string{"a"}})
 	}
-	brief := func(cs []Claim) (out []string) {
-		for _, c := range cs {
+	summary := func(claims []Claim) (out []string) {
+		for _, c := range claims {
 			out = append(out, fmt.Sprint(c.Duty, c.Period))
 		}
 		return out
 	}
-	if diff := cmp.Diff([]string{"now106", "up104", "up105", "up106"}, brief(s.Due("a"))); diff != "" {
+	if diff := cmp.Diff([]string{"now106", "up104", "up105", "up106"}, summary(s.Due("a"))); diff != "" {
 		t.Error(diff)
 	}
 	a := NewAgent("a", cfg, 2)
 	if got := a.Start(0, s); got != nil {
-		t.Errorf("%v without a lease", got)
+		t.Errorf("%v started without a lease", got)
 	}
 	a.RenewLease(7 * sec)
 	if got := a.Start(10*sec, s); got != nil {
-		t.Errorf("%v with a lease of the past", got)
+		t.Errorf("%v started after the lease expired", got)
 	}
-	cs := a.Start(9*sec, s)
-	if diff := cmp.Diff([]string{"now106", "up104"}, brief(cs)); diff != "" {
+	claims := a.Start(9*sec, s)
+	if diff := cmp.Diff([]string{"now106", "up104"}, summary(claims)); diff != "" {
 		t.Error(diff)
 	}
 	if got := a.Start(9*sec, s); got != nil {
-		t.Errorf("%v beyond the pool", got)
+		t.Errorf("%v started beyond the limit of concurrent runs", got)
 	}
 	if stop, hung := a.Stop(19*sec, s); len(stop) != 2 || hung != nil {
-		t.Errorf("%v %v past the deadline", stop, hung)
+		t.Errorf("past the deadline: stop %v, hung %v", stop, hung)
 	}
-	if a.RunEnded(9*sec, cs[0], errors.New("it panicked")) || !a.RunEnded(9*sec, cs[1], nil) {
-		t.Error("proposals")
+	if a.RunEnded(9*sec, claims[0], errors.New("it panicked")) || !a.RunEnded(9*sec, claims[1], nil) {
+		t.Error("Done must be proposed for the successful run only")
 	}
 	next := a.Start(9*sec, s)
-	if diff := cmp.Diff([]string{"up105"}, brief(next)); diff != "" {
-		t.Error(diff) // one period at a time, and the one that failed rests first
+	if diff := cmp.Diff([]string{"up105"}, summary(next)); diff != "" {
+		t.Error(diff) // one run at a time per duty; the duty that failed waits for its backoff
 	}
 	a.Stop(19*sec+375*time.Millisecond, s)
 	if _, hung := a.Stop(28*sec+375*time.Millisecond, s); len(hung) != 1 || hung[0] != next[0] {
-		t.Errorf("%v hang", hung)
+		t.Errorf("hung: %v", hung)
 	}
-	if diff := cmp.Diff([]string{"now106"}, brief(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
+	if diff := cmp.Diff([]string{"now106"}, summary(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
 		t.Error(diff)
 	}
 	a.HungRunEnded(next[0])
-	if diff := cmp.Diff([]string{"up105"}, brief(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
+	if diff := cmp.Diff([]string{"up105"}, summary(a.Start(9*sec+375*time.Millisecond, s))); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"up104"}, brief(append(a.Repropose(11*sec, s), a.Repropose(12*sec, s)...))); diff != "" {
-		t.Error(diff) // its Done is not in the log: proposed again after a lease, not sooner
+	if diff := cmp.Diff([]string{"up104"}, summary(append(a.Repropose(11*sec, s), a.Repropose(12*sec, s)...))); diff != "" {
+		t.Error(diff) // Done is not in the log: proposed again once a lease has passed, not earlier
 	}
-	must(t, s, Done{Claim{"up", s.duties["up"].series, 105, 1}}, Done{Claim{"up", s.duties["up"].series, 104, 1}}, Done{Claim{"now", 0, 106, 1}},
+	mustApply(t, s, Done{Claim{"up", s.duties["up"].series, 105, 1}}, Done{Claim{"up", s.duties["up"].series, 104, 1}}, Done{Claim{"now", 0, 106, 1}},
 		Done{Claim{"up", s.duties["up"].series, 999, 1}})
-	if diff := cmp.Diff([]string{"now106", "up106"}, brief(s.Due("a"))); diff != "" {
+	if diff := cmp.Diff([]string{"now106", "up106"}, summary(s.Due("a"))); diff != "" {
 		t.Error(diff)
 	}
-	must(t, s, Register{Spec{Name: "up", Period: 20 * sec, MakeUp: true}}) // numbered anew
+	mustApply(t, s, Register{Spec{Name: "up", Period: 20 * sec, MakeUp: true}}) // starts a new series
 	if got := s.Due("a"); len(got) != 1 {
 		t.Error(got)
 	}
-	must(t, s, Remove{"now"})
+	mustApply(t, s, Remove{"now"})
 	if got := s.Due("a"); len(got) != 0 {
 		t.Error(got)
 	}
@@ -156,30 +157,30 @@
 	for p := range int64(5000) {
 		_ = k.Accept(Claim{"d", 9, 6000 + p, 11})
 	}
-	if n := len(k.duties["d"].done); n > keepDone {
-		t.Errorf("%d periods kept", n)
+	if n := len(k.duties["d"].done); n > maxSinkPeriods {
+		t.Errorf("%d periods remembered", n)
 	}
 	if err := k.Accept(Claim{"d", 9, 6001, 11}); !errors.Is(err, ErrAlreadyDone) {
-		t.Error("a period that was forgotten was taken again")
+		t.Error("a period that is no longer remembered was accepted again")
 	}
-	for i := range uint64(keepDuties) { // names of later push out the one that was quiet
+	for i := range uint64(maxSinkDuties) { // later duties evict the least recently used one
 		_ = k.Accept(Claim{fmt.Sprint("name ", i), 20 + i, 1, 20 + i})
 	}
-	if err := k.Accept(Claim{"d", 9, 20000, 11}); len(k.duties) > keepDuties || !errors.Is(err, ErrFenced) {
+	if err := k.Accept(Claim{"d", 9, 20000, 11}); len(k.duties) > maxSinkDuties || !errors.Is(err, ErrFenced) {
 		t.Error(len(k.duties), err)
 	}
 }
 
-// Bad entries bring an error and change nothing; bounds hold.
+// Invalid entries return an error and change nothing; the limits are enforced.
 func TestBadEntries(t *testing.T) {
-	s := many(t, 5, 2)
+	s := newTestState(t, 5, 2)
 	before := fmt.Sprint(s.Members(), s.Duties())
-	long := strings.Repeat("x", MaxNameLen+1)
-	for _, e := range []Entry{Leave{"none"}, Remove{"none"}, Join{"", 1}, Join{long, 1}, Done{Claim{Duty: "none"}}, nil,
-		Register{Spec{Name: "d"}}, Register{Spec{Name: long, Period: sec}}, Register{Spec{Name: "d", Period: sec, Load: -1}},
+	longName := strings.Repeat("x", MaxNameLen+1)
+	for _, e := range []Entry{Leave{"none"}, Remove{"none"}, Join{"", 1}, Join{longName, 1}, Done{Claim{Duty: "none"}}, nil,
+		Register{Spec{Name: "d"}}, Register{Spec{Name: longName, Period: sec}}, Register{Spec{Name: "d", Period: sec, Load: -1}},
 		Register{Spec{Name: "d", Period: sec, Deadline: -1}}, Register{Spec{Name: "d", Period: sec, MostMissed: -1}}} {
 		if err := s.Apply(e); err == nil {
-			t.Errorf("%+v was taken", e)
+			t.Errorf("%+v was accepted", e)
 		}
 	}
 	if after := fmt.Sprint(s.Members(), s.Duties()); after != before {
@@ -193,10 +194,12 @@
 	}
 }
 
-// Whatever is applied: the time never goes back nor far forward, whatever a leader's clock
-// does, and who is heard keeps its lease; two copies of a state agree, also where one of
-// them was saved and loaded under way; owners are live; one epoch is one owner in one of its lives; no duty
-// lacks an owner beside a live instance; loads add up; nothing is owed twice.
+// Applies random entries and checks that the log's time never decreases and never jumps by
+// more than a lease, whatever the leader's clock does; that instances that are heard keep
+// their leases; that two copies of a state are equal, also after one of them was saved and
+// loaded; that owners are live; that each epoch belongs to one owner in one incarnation;
+// that no duty lacks an owner while an instance is live; that loads add up; and that the
+// number of pending periods is never negative.
 func TestAnyEntries(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -233,9 +236,9 @@
 				}
 				e = tick
 			}
-			was := a.Now()
-			if fmt.Sprint(a.Apply(e)) != fmt.Sprint(b.Apply(e)) || a.Now() < was || was > 0 && a.Now() > was+cfg.Lease {
-				t.Fatal(seed, e, was, a.Now())
+			previous := a.Now()
+			if fmt.Sprint(a.Apply(e)) != fmt.Sprint(b.Apply(e)) || a.Now() < previous || previous > 0 && a.Now() > previous+cfg.Lease {
+				t.Fatal(seed, e, previous, a.Now())
 			}
 			saved, err := b.Save()
 			if err == nil && r.IntN(20) == 0 {
@@ -253,20 +256,20 @@
 					t.Fatalf("seed %d after %+v: %+v lost its lease", seed, e, m)
 				}
 			}
-			for _, h := range a.Duties() {
-				m, ok := live[h.Owner]
-				life := fmt.Sprint(h.Spec.Name, m.Member, m.Incarnation)
-				if was := owners[h.Epoch]; ok && was != "" && was != life || !ok && (h.Owner != "" || len(live) > 0) || h.Pending < 0 {
-					t.Fatalf("seed %d after %+v: %+v, live %v, its epoch was %q", seed, e, h, live, was)
+			for _, d := range a.Duties() {
+				m, ok := live[d.Owner]
+				incarnation := fmt.Sprint(d.Spec.Name, m.Member, m.Incarnation)
+				if previous := owners[d.Epoch]; ok && previous != "" && previous != incarnation || !ok && (d.Owner != "" || len(live) > 0) || d.Pending < 0 {
+					t.Fatalf("seed %d after %+v: %+v, live %v, earlier owner of the epoch %q", seed, e, d, live, previous)
 				}
 				if ok {
-					owners[h.Epoch] = life
-					load[h.Owner] -= h.Spec.Load
+					owners[d.Epoch] = incarnation
+					load[d.Owner] -= d.Spec.Load
 				}
 			}
 			for id, l := range load {
 				if l != 0 {
-					t.Fatalf("seed %d after %+v: load of %s off by %d", seed, e, id, l)
+					t.Fatalf("seed %d after %+v: load of %s differs by %d", seed, e, id, l)
 				}
 			}
 		}
--- a/decide/duty/explore_test.go
+++ b/decide/duty/explore_test.go
@@ -12,13 +12,15 @@
 	"time"
 )
 
-// The exploration: three instances, two duties, a log that a majority can append to,
-// and a sink. Each step is one of: the leader ticks and hears all that run or all but
-// one; an instance applies the log's next entry; it starts what it may; the effect of
-// a run reaches the sink, once or staying on its way as a copy, and its acknowledgement
-// is taken or lost; an instance crashes, or starts anew. A pause is an instance that
-// takes no step, and an effect that stays on its way, for as long as others go on; the
-// steady clock goes on for all. Reordering is any order of what is on its way.
+// The tests of this file explore the states of a model exhaustively. The model has three
+// instances, two duties, a log that a majority can append to, and a sink. Each step is one
+// of: the leader ticks, having heard all running instances or all but one; an instance
+// applies the next log entry; an instance starts the runs that it may start; the effect of
+// a run reaches the sink, with or without a duplicate left in flight, and its
+// acknowledgement is received or lost; the effect is lost; an instance crashes or
+// restarts. A suspended process is modelled by an instance that takes no step, and a delay
+// by an effect that stays in flight, while others take steps; the monotonic clock of all
+// instances advances. Effects in flight arrive in any order.
 
 var (
 	exploreIDs = []string{"a", "b", "c"}
@@ -27,79 +29,80 @@
 		Join{"a", 1}, Join{"b", 1}, Join{"c", 1}, Tick{Now: 0, Heard: []string{"a", "b", "c"}}}
 )
 
-type flight struct {
-	c    Claim
-	from int
-	life uint64
+// delivery is an effect on its way to the sink.
+type delivery struct {
+	claim       Claim
+	from        int
+	incarnation uint64
 }
 
 type instance struct {
-	up      bool
-	life    uint64
-	applied int
-	agent   *Agent
+	up          bool
+	incarnation uint64
+	applied     int
+	agent       *Agent
 }
 
-// world is one state of the exploration. Its parts are replaced, never changed, when a
-// step is tried, but for the instance that the step is of.
-type world struct {
-	log     []Entry
-	now     time.Duration
-	ins     [3]instance
-	flights []flight
-	sink    *Sink
-	effects map[string]int // how often each duty's period happened
-	broken  string         // a broken fence: "epoch", "done" or ""
+// model is one state of the exploration. A step that is tried replaces its parts and
+// never modifies them, except for the instance that takes the step.
+type model struct {
+	log         []Entry
+	now         time.Duration
+	instances   [3]instance
+	inFlight    []delivery
+	sink        *Sink
+	effects     map[string]int // number of effects by duty and period
+	brokenFence string         // fault of the fence: "epoch", "none" or "" for no fault; see accept
 }
 
-func first() *world {
-	w := &world{log: exploreLog, sink: NewSink(), effects: map[string]int{}}
+func newModel() *model {
+	m := &model{log: exploreLog, sink: NewSink(), effects: map[string]int{}}
 	for i, id := range exploreIDs {
-		w.ins[i] = instance{up: true, life: 1, agent: NewAgent(id, exploreCfg, 4)}
-		for w.ins[i].applied < len(w.log) {
-			w.apply(i)
+		m.instances[i] = instance{up: true, incarnation: 1, agent: NewAgent(id, exploreCfg, 4)}
+		for m.instances[i].applied < len(m.log) {
+			m.applyNext(i)
 		}
 	}
-	return w
+	return m
 }
 
-func (w *world) clone() *world {
-	v := *w
-	v.log = slices.Clip(w.log)
-	v.flights = slices.Clone(w.flights)
-	v.effects = maps.Clone(w.effects)
+func (m *model) clone() *model {
+	v := *m
+	v.log = slices.Clip(m.log)
+	v.inFlight = slices.Clone(m.inFlight)
+	v.effects = maps.Clone(m.effects)
 	v.sink = NewSink()
-	for n, f := range w.sink.duties {
+	for n, f := range m.sink.duties {
 		g := *f
 		g.done = maps.Clone(f.done)
 		v.sink.duties[n] = &g
 	}
-	for i := range v.ins {
-		a := *w.ins[i].agent
-		a.running, a.ended, a.pauses = maps.Clone(a.running), maps.Clone(a.ended), maps.Clone(a.pauses)
-		v.ins[i].agent = &a
+	for i := range v.instances {
+		a := *m.instances[i].agent
+		a.running, a.proposedAt, a.backoffs = maps.Clone(a.running), maps.Clone(a.proposedAt), maps.Clone(a.backoffs)
+		v.instances[i].agent = &a
 	}
 	return &v
 }
 
-func (w *world) key() string {
+func (m *model) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.log[len(exploreLog):])
-	for _, in := range w.ins {
-		fmt.Fprint(&b, "|", in.up, in.life, in.applied, in.agent.seen, in.agent.running, in.agent.ended, in.agent.pauses)
+	fmt.Fprint(&b, m.now, m.log[len(exploreLog):])
+	for _, in := range m.instances {
+		fmt.Fprint(&b, "|", in.up, in.incarnation, in.applied, in.agent.leaseStart, in.agent.running, in.agent.proposedAt, in.agent.backoffs)
 	}
-	fl := slices.Clone(w.flights)
-	slices.SortFunc(fl, func(a, b flight) int { return compare(a.c, b.c)*8 + a.from - b.from })
-	fmt.Fprint(&b, fl, w.effects)
-	for _, n := range slices.Sorted(maps.Keys(w.sink.duties)) {
-		fmt.Fprint(&b, w.sink.duties[n].epoch)
+	inFlight := slices.Clone(m.inFlight)
+	slices.SortFunc(inFlight, func(a, b delivery) int { return compareClaims(a.claim, b.claim)*8 + a.from - b.from })
+	fmt.Fprint(&b, inFlight, m.effects)
+	for _, n := range slices.Sorted(maps.Keys(m.sink.duties)) {
+		fmt.Fprint(&b, m.sink.duties[n].epoch)
 	}
 	return b.String()
 }
 
-func (w *world) majority() bool {
+func (m *model) majority() bool {
 	n := 0
-	for _, in := range w.ins {
+	for _, in := range m.instances {
 		if in.up {
 			n++
 		}
@@ -107,96 +110,97 @@
 	return n >= 2
 }
 
-// state is what an instance has after so many entries.
-func (w *world) state(applied int) *State {
+// state returns an instance's state after the given number of entries.
+func (m *model) state(applied int) *State {
 	s := New(exploreCfg)
-	for _, e := range w.log[:applied] {
-		_ = s.Apply(e) // a Done of what is gone is refused, by design
+	for _, e := range m.log[:applied] {
+		_ = s.Apply(e) // Done for a removed duty returns an error, by design
 	}
 	return s
 }
 
-func (w *world) apply(i int) {
-	in := &w.ins[i]
-	e := w.log[in.applied]
+func (m *model) applyNext(i int) {
+	in := &m.instances[i]
+	e := m.log[in.applied]
 	in.applied++
 	if t, ok := e.(Tick); ok && slices.Contains(t.Heard, exploreIDs[i]) {
-		in.agent.RenewLease(t.Now) // ticks are asked for at their time: the clocks agree here
+		in.agent.RenewLease(t.Now) // the model has one clock: the tick's time is also when the instance sent its message
 	}
 }
 
-func (w *world) start(i int) bool {
-	in := &w.ins[i]
-	cs := in.agent.Start(w.now, w.state(in.applied))
-	for _, c := range cs {
-		w.flights = append(w.flights, flight{c, i, in.life})
+func (m *model) startRuns(i int) bool {
+	in := &m.instances[i]
+	claims := in.agent.Start(m.now, m.state(in.applied))
+	for _, c := range claims {
+		m.inFlight = append(m.inFlight, delivery{c, i, in.incarnation})
 	}
-	return len(cs) > 0
+	return len(claims) > 0
 }
 
-// accept is the sink, or a broken one.
-func (w *world) accept(c Claim) error {
-	switch w.broken {
-	case "epoch": // remembers what is done for the epoch alone, as a lock service's client might
+// accept passes a claim to the sink, or to a sink with a broken fence.
+func (m *model) accept(c Claim) error {
+	switch m.brokenFence {
+	case "epoch": // remembers done periods per epoch only, as a client of a lock service might
 		c.Duty = fmt.Sprint(c.Duty, c.Epoch)
 	case "none":
 		return nil
 	}
-	return w.sink.Accept(c)
+	return m.sink.Accept(c)
 }
 
-// deliver lets an effect reach the sink. Its acknowledgement is lost if heard is false.
-func (w *world) deliver(k int, keep, heard bool) {
-	f := w.flights[k]
-	if !keep {
-		w.flights = slices.Delete(slices.Clone(w.flights), k, k+1)
-	}
-	err := w.accept(f.c)
+// deliver delivers effect k to the sink. With duplicate, a copy stays in flight; without
+// acknowledged, the acknowledgement is lost.
+func (m *model) deliver(k int, duplicate, acknowledged bool) {
+	f := m.inFlight[k]
+	if !duplicate {
+		m.inFlight = slices.Delete(slices.Clone(m.inFlight), k, k+1)
+	}
+	err := m.accept(f.claim)
 	if err == nil {
-		w.effects[fmt.Sprint(f.c.Duty, f.c.Period)]++
+		m.effects[fmt.Sprint(f.claim.Duty, f.claim.Period)]++
 	}
-	in := &w.ins[f.from]
-	if !heard || !in.up || in.life != f.life {
+	in := &m.instances[f.from]
+	if !acknowledged || !in.up || in.incarnation != f.incarnation {
 		return
 	}
-	if _, on := in.agent.running[f.c]; !on && !errors.Is(err, ErrAlreadyDone) {
-		return // a copy
+	if _, running := in.agent.running[f.claim]; !running && !errors.Is(err, ErrAlreadyDone) {
+		return // a duplicate
 	}
-	if in.agent.RunEnded(w.now, f.c, err) && w.majority() {
-		w.log = append(slices.Clip(w.log), Done{f.c})
+	if in.agent.RunEnded(m.now, f.claim, err) && m.majority() {
+		m.log = append(slices.Clip(m.log), Done{f.claim})
 	}
 }
 
-func (w *world) tick(without int) bool {
-	if !w.majority() {
+func (m *model) tick(unheard int) bool {
+	if !m.majority() {
 		return false
 	}
-	w.now += time.Second
+	m.now += time.Second
 	var heard []string
-	for i, in := range w.ins {
-		if in.up && i != without {
+	for i, in := range m.instances {
+		if in.up && i != unheard {
 			heard = append(heard, exploreIDs[i])
 		}
 	}
-	w.log = append(slices.Clip(w.log), Tick{Now: w.now, Heard: heard})
+	m.log = append(slices.Clip(m.log), Tick{Now: m.now, Heard: heard})
 	return true
 }
 
-// next is every state that one step leads to.
-func (w *world) next() (out []*world) {
-	try := func(do func(v *world) bool) {
-		if v := w.clone(); do(v) {
+// successors returns every state that one step leads to.
+func (m *model) successors() (out []*model) {
+	try := func(do func(v *model) bool) {
+		if v := m.clone(); do(v) {
 			out = append(out, v)
 		}
 	}
-	for without := -1; without < 3; without++ {
-		if without < 0 || w.ins[without].up {
-			try(func(v *world) bool { return v.tick(without) })
+	for unheard := -1; unheard < 3; unheard++ {
+		if unheard < 0 || m.instances[unheard].up {
+			try(func(v *model) bool { return v.tick(unheard) })
 		}
 	}
-	for i, in := range w.ins {
+	for i, in := range m.instances {
 		if !in.up {
-			try(func(v *world) bool { // it starts anew, with nothing but the log
+			try(func(v *model) bool { // it restarts with nothing but the log
 				if !v.majority() {
 					return false
 				}
@@ -205,30 +209,30 @@
 			})
 			continue
 		}
-		if in.applied < len(w.log) {
-			try(func(v *world) bool { v.apply(i); return true })
+		if in.applied < len(m.log) {
+			try(func(v *model) bool { v.applyNext(i); return true })
 		}
-		try(func(v *world) bool { return v.start(i) })
-		try(func(v *world) bool { v.ins[i].up = false; return true })
+		try(func(v *model) bool { return v.startRuns(i) })
+		try(func(v *model) bool { v.instances[i].up = false; return true })
 	}
-	for k := range w.flights {
-		try(func(v *world) bool { v.deliver(k, false, true); return true })
-		try(func(v *world) bool { v.deliver(k, false, false); return true })
-		try(func(v *world) bool { v.deliver(k, true, true); return true })
-		try(func(v *world) bool { v.flights = slices.Delete(v.flights, k, k+1); return true }) // lost
+	for k := range m.inFlight {
+		try(func(v *model) bool { v.deliver(k, false, true); return true })
+		try(func(v *model) bool { v.deliver(k, false, false); return true })
+		try(func(v *model) bool { v.deliver(k, true, true); return true })
+		try(func(v *model) bool { v.inFlight = slices.Delete(v.inFlight, k, k+1); return true }) // lost
 	}
 	return out
 }
 
-func (w *world) restart(i int) {
-	life := w.ins[i].life + 1
-	w.ins[i] = instance{up: true, life: life, agent: NewAgent(exploreIDs[i], exploreCfg, 4)}
-	w.log = append(slices.Clip(w.log), Join{exploreIDs[i], life})
+func (m *model) restart(i int) {
+	incarnation := m.instances[i].incarnation + 1
+	m.instances[i] = instance{up: true, incarnation: incarnation, agent: NewAgent(exploreIDs[i], exploreCfg, 4)}
+	m.log = append(slices.Clip(m.log), Join{exploreIDs[i], incarnation})
 }
 
-// twice says which period happened more than once.
-func (w *world) twice() string {
-	for k, n := range w.effects {
+// doneTwice returns a period that took effect more than once, or "".
+func (m *model) doneTwice() string {
+	for k, n := range m.effects {
 		if n > 1 {
 			return k
 		}
@@ -236,68 +240,68 @@
 	return ""
 }
 
-// settle lets all run in fair weather, and says which period of the duty that makes up
-// was skipped in the end.
-func (w *world) settle() string {
-	for i := range w.ins {
-		if !w.ins[i].up {
-			w.restart(i)
+// settle runs all instances without further faults. It returns a period of the duty with
+// MakeUp that did not take effect exactly once, or "".
+func (m *model) settle() string {
+	for i := range m.instances {
+		if !m.instances[i].up {
+			m.restart(i)
 		}
 	}
 	for range 12 {
-		w.tick(-1)
-		for i := range w.ins {
-			for w.ins[i].applied < len(w.log) {
-				w.apply(i)
+		m.tick(-1)
+		for i := range m.instances {
+			for m.instances[i].applied < len(m.log) {
+				m.applyNext(i)
 			}
 			// A run whose effect was lost ends at its deadline.
-			stop, _ := w.ins[i].agent.Stop(w.now, w.state(w.ins[i].applied))
+			stop, _ := m.instances[i].agent.Stop(m.now, m.state(m.instances[i].applied))
 			for _, c := range stop {
-				w.ins[i].agent.RunEnded(w.now, c, errors.New("stopped"))
+				m.instances[i].agent.RunEnded(m.now, c, errors.New("stopped"))
 			}
-			for _, c := range w.ins[i].agent.Repropose(w.now, w.state(w.ins[i].applied)) {
-				w.log = append(slices.Clip(w.log), Done{c})
+			for _, c := range m.instances[i].agent.Repropose(m.now, m.state(m.instances[i].applied)) {
+				m.log = append(slices.Clip(m.log), Done{c})
 			}
-			w.start(i)
+			m.startRuns(i)
 		}
-		for len(w.flights) > 0 {
-			w.deliver(0, false, true)
+		for len(m.inFlight) > 0 {
+			m.deliver(0, false, true)
 		}
 	}
-	last := int64(w.now/(2*time.Second)) - 1
+	last := int64(m.now/(2*time.Second)) - 1
 	for p := int64(1); p <= last; p++ {
-		if w.effects[fmt.Sprint("up", p)] != 1 {
+		if m.effects[fmt.Sprint("up", p)] != 1 {
 			return fmt.Sprint("up", p)
 		}
 	}
 	return ""
 }
 
-// explore walks all states breadth first to a depth, from a state some steps on, and
-// returns how many there were and the first fault.
-func explore(from *world, depth, most int) (states int, fault string) {
+// explore visits all states breadth first from the given state to the given depth. It
+// returns the number of states and the first fault found.
+func explore(from *model, depth, maxStates int) (states int, fault string) {
 	seen := map[string]bool{from.key(): true}
-	level := []*world{from}
+	level := []*model{from}
 	for d := 0; d < depth; d++ {
-		var next []*world
-		for _, w := range level {
-			for _, v := range w.next() {
+		var next []*model
+		for _, m := range level {
+			for _, v := range m.successors() {
 				k := v.key()
 				if seen[k] {
 					continue
 				}
 				seen[k] = true
-				if two := v.twice(); two != "" {
-					return len(seen), fmt.Sprintf("depth %d: %s done twice", d+1, two)
+				if period := v.doneTwice(); period != "" {
+					return len(seen), fmt.Sprintf("depth %d: %s done twice", d+1, period)
 				}
-				if len(seen)%67 == 0 { // a settled end costs as much as fifty states
+				if len(seen)%67 == 0 { // settle costs as much as fifty states
 					c := v.clone()
 					if skipped := c.settle(); skipped != "" {
 						return len(seen), fmt.Sprintf("depth %d: %s skipped or done twice: %v", d+1, skipped, c.effects)
 					}
 				}
-				if len(seen) >= most {
-					return len(seen), fmt.Sprintf("more than %d states at depth %d", most, d+1)
+				if len(seen) >= maxStates {
+					return len(seen), fmt.Sprintf("more than %d states at depth %d", maxStates, d+1)
 				}
 				next = append(next, v)
 			}
@@ -307,45 +311,47 @@
 	return len(seen), ""
 }
 
-// pressed is a state in which things are about to happen: two seconds in, a period is
-// due and begun at its owners, and one of them is not heard any more.
-func pressed(heard int) *world {
-	w := first()
+// modelWithUnheard returns a state shortly before a failover, where faults need few steps:
+// two seconds after the start, a period is due, its runs have started on their owners, and
+// for three ticks the given instance is not heard.
+func modelWithUnheard(unheard int) *model {
+	m := newModel()
 	for range 2 {
-		w.tick(-1)
+		m.tick(-1)
 	}
-	for i := range w.ins {
-		for w.ins[i].applied < len(w.log) {
-			w.apply(i)
+	for i := range m.instances {
+		for m.instances[i].applied < len(m.log) {
+			m.applyNext(i)
 		}
 	}
-	for i := range w.ins {
-		w.start(i)
+	for i := range m.instances {
+		m.startRuns(i)
 	}
 	for range 3 {
-		w.tick(heard)
+		m.tick(unheard)
 	}
-	return w
+	return m
 }
 
-// deeper goes so many steps deeper than CI does: go test -run Explore -deeper 1 takes
-// some ten times as long.
-var deeper = flag.Int("deeper", 0, "steps that TestExplore goes beyond its usual depth")
+// extraDepth is added to the depth that CI explores: go test -run Explore -deeper 1 takes
+// about ten times as long.
+var extraDepth = flag.Int("deeper", 0, "steps that TestExplore explores beyond its usual depth")
 
+// No period takes effect twice, and no period of a duty with MakeUp is skipped.
 func TestExplore(t *testing.T) {
 	var mu sync.Mutex
 	total := 0
 	var all sync.WaitGroup
 	for name, c := range map[string]struct {
-		from  *world
+		from  *model
 		depth int
-	}{"from the start": {first(), 5}, "a is not heard": {pressed(0), 4}, "b is not heard": {pressed(1), 4}, "c is not heard": {pressed(2), 4}} {
+	}{"from the start": {newModel(), 5}, "a is not heard": {modelWithUnheard(0), 4}, "b is not heard": {modelWithUnheard(1), 4}, "c is not heard": {modelWithUnheard(2), 4}} {
 		all.Go(func() {
-			n, fault := explore(c.from, c.depth+*deeper, 5_000_000)
+			n, fault := explore(c.from, c.depth+*extraDepth, 5_000_000)
 			if fault != "" {
 				t.Errorf("%s: %s", name, fault)
 			}
-			t.Logf("%s: %d states to depth %d", name, n, c.depth+*deeper)
+			t.Logf("%s: %d states to depth %d", name, n, c.depth+*extraDepth)
 			mu.Lock()
 			defer mu.Unlock()
 			total += n
@@ -355,20 +361,20 @@
 	t.Logf("%d states", total)
 }
 
-// A sink whose fence is broken is found out by the same search.
+// The same search finds the fault of a sink with a broken fence.
 func TestExploreFindsBrokenFence(t *testing.T) {
-	for _, broken := range []string{"epoch", "none"} {
+	for _, brokenFence := range []string{"epoch", "none"} {
 		found := ""
 		for i := range 3 {
-			w := pressed(i)
-			w.broken = broken
-			if _, fault := explore(w, 5, 2_000_000); strings.Contains(fault, "twice") {
+			m := modelWithUnheard(i)
+			m.brokenFence = brokenFence
+			if _, fault := explore(m, 5, 2_000_000); strings.Contains(fault, "twice") {
 				found = fault
 			}
 		}
 		if found == "" {
-			t.Errorf("fence without %s: nothing found", broken)
+			t.Errorf("broken fence %q: no fault found", brokenFence)
 		}
-		t.Log(broken, found)
+		t.Log(brokenFence, found)
 	}
 }
--- a/decide/duty/save.go
+++ b/decide/duty/save.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// saved is a state's whole content, in an order that is always the same.
+// saved is the complete content of a State, in a deterministic order.
 type saved struct {
 	Now     time.Duration
 	Ticked  bool
@@ -32,52 +32,52 @@
 	Ahead         []int64
 }
 
-// Save returns the state for a snapshot. Equal states give equal bytes.
+// Save encodes the state for a snapshot. Equal states give equal bytes.
 func (s *State) Save() ([]byte, error) {
-	out := saved{Now: s.now, Ticked: s.ticked, Epochs: s.epochs, Moves: s.moves}
-	for _, id := range s.ids() {
+	snapshot := saved{Now: s.now, Ticked: s.ticked, Epochs: s.lastEpoch, Moves: s.moves}
+	for _, id := range s.memberIDs() {
 		m := s.members[id]
-		out.Members = append(out.Members, savedMember{id, m.incarnation, m.until, m.live})
+		snapshot.Members = append(snapshot.Members, savedMember{id, m.incarnation, m.leaseEnd, m.live})
 	}
-	for _, n := range s.names() {
-		t := s.duties[n]
-		d := savedDuty{t.spec, t.owner, t.series, t.epoch, t.done, nil}
-		for p := range t.ahead {
-			d.Ahead = append(d.Ahead, p)
+	for _, n := range s.dutyNames() {
+		d := s.duties[n]
+		entry := savedDuty{d.spec, d.owner, d.series, d.epoch, d.doneThrough, nil}
+		for period := range d.doneAhead {
+			entry.Ahead = append(entry.Ahead, period)
 		}
-		slices.Sort(d.Ahead)
-		out.Duties = append(out.Duties, d)
+		slices.Sort(entry.Ahead)
+		snapshot.Duties = append(snapshot.Duties, entry)
 	}
-	return json.Marshal(out)
+	return json.Marshal(snapshot)
 }
 
-// Load returns the state that Save gave, under the same Config.
+// Load decodes a state encoded by Save. cfg must be the one that the state was created with.
 func Load(cfg Config, b []byte) (*State, error) {
-	var in saved
-	if err := json.Unmarshal(b, &in); err != nil {
+	var snapshot saved
+	if err := json.Unmarshal(b, &snapshot); err != nil {
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
-	if len(in.Members) > MaxMembers || len(in.Duties) > MaxDuties {
+	if len(snapshot.Members) > MaxMembers || len(snapshot.Duties) > MaxDuties {
 		return nil, fmt.Errorf("duty: snapshot: %w", ErrLimit)
 	}
 	s := New(cfg)
-	s.now, s.ticked, s.epochs, s.moves = in.Now, in.Ticked, in.Epochs, in.Moves
-	for _, m := range in.Members {
-		s.members[m.ID] = &member{incarnation: m.Incarnation, until: m.Until, live: m.Live}
+	s.now, s.ticked, s.lastEpoch, s.moves = snapshot.Now, snapshot.Ticked, snapshot.Epochs, snapshot.Moves
+	for _, m := range snapshot.Members {
+		s.members[m.ID] = &member{incarnation: m.Incarnation, leaseEnd: m.Until, live: m.Live}
 	}
-	for _, d := range in.Duties {
-		t := &task{spec: d.Spec, owner: d.Owner, series: d.Series, epoch: d.Epoch, done: d.Done, ahead: map[int64]bool{}}
-		for _, p := range d.Ahead {
-			t.ahead[p] = true
+	for _, entry := range snapshot.Duties {
+		d := &dutyState{spec: entry.Spec, owner: entry.Owner, series: entry.Series, epoch: entry.Epoch, doneThrough: entry.Done, doneAhead: map[int64]bool{}}
+		for _, period := range entry.Ahead {
+			d.doneAhead[period] = true
 		}
-		if t.owner != "" {
-			m := s.members[t.owner]
-			if m == nil || !m.live || t.spec.Period <= 0 {
-				return nil, fmt.Errorf("duty: snapshot: %w: duty %q of %q", ErrInvalid, d.Spec.Name, t.owner)
+		if d.owner != "" {
+			m := s.members[d.owner]
+			if m == nil || !m.live || d.spec.Period <= 0 {
+				return nil, fmt.Errorf("duty: snapshot: %w: duty %q of %q", ErrInvalid, entry.Spec.Name, d.owner)
 			}
-			m.load += t.spec.Load
+			m.load += d.spec.Load
 		}
-		s.duties[d.Spec.Name] = t
+		s.duties[entry.Spec.Name] = d
 	}
 	return s, nil
 }
--- a/decide/replan/demand.go
+++ b/decide/replan/demand.go
@@ -1,7 +1,7 @@
-// Package replan decides when a plan is worked out again and when a new one takes
-// the place of the one in force, and measures the demand that it is worked out for.
-// It does no I/O, has no clock and starts no goroutine: times and figures go in,
-// actions come out. Nothing here may be called by two goroutines at once.
+// Package replan decides when to solve for a new plan and when it replaces the plan in
+// force, and measures the demand to solve for. It does no I/O, reads no clock and starts
+// no goroutine: times and call counts go in, actions come out. Nothing in this package is
+// safe for concurrent use.
 package replan
 
 import (
@@ -11,104 +11,106 @@
 	"time"
 )
 
-// Flow is a class of call to an exchange.
+// Flow identifies the calls of one class to one exchange.
 type Flow struct {
 	Class string
 	To    string
 }
 
-// DemandMeter measures calls a second by flow, each by an exponentially aged count: a
-// step in the offered rate shows by 63% after Memory, and a rate of r calls a second
-// is known within about r/sqrt(2 r Memory). A window would need all arrival times,
-// or forget in steps.
+// DemandMeter measures the call rate of each flow, in calls per second, as an exponentially
+// weighted moving average with a time constant, the memory. 63% of a step in the offered
+// rate shows after one memory, and the standard error of a rate of r calls per second is
+// about r/sqrt(2 r memory). A sliding window would have to store all arrival times, or
+// discard old calls in steps.
 type DemandMeter struct {
-	memory  time.Duration
-	most    int
-	began   time.Duration
-	started bool
-	flows   map[Flow]*aged
-	// Dropped counts calls of flows for which there was no room.
+	memory     time.Duration
+	maxFlows   int
+	firstCount time.Duration
+	started    bool
+	flows      map[Flow]*agedRate
+	// Dropped counts the calls of flows that were not measured because of the limit.
 	Dropped int
 }
 
-type aged struct {
-	v    float64 // calls a second, as of last
-	last time.Duration
+// agedRate is a rate that decays exponentially.
+type agedRate struct {
+	rate    float64 // calls per second, as of updated
+	updated time.Duration
 }
 
-func (a *aged) at(now, memory time.Duration) float64 {
-	return a.v * math.Exp(-float64(max(0, now-a.last))/float64(memory))
+func (a *agedRate) rateAt(now, memory time.Duration) float64 {
+	return a.rate * math.Exp(-float64(max(0, now-a.updated))/float64(memory))
 }
 
-// NewDemandMeter returns a measure with the given memory that keeps at most so many
-// flows. Where there are more, the least one makes room if the new flow's calls
-// lift it above that one.
-func NewDemandMeter(memory time.Duration, most int) *DemandMeter {
-	return &DemandMeter{memory: memory, most: most, flows: map[Flow]*aged{}}
+// NewDemandMeter returns a meter with the given memory that measures at most maxFlows
+// flows. At the limit, a new flow replaces the flow of lowest rate if the new flow's rate
+// is above it.
+func NewDemandMeter(memory time.Duration, maxFlows int) *DemandMeter {
+	return &DemandMeter{memory: memory, maxFlows: maxFlows, flows: map[Flow]*agedRate{}}
 }
 
-// Count takes in n calls.
+// Count records n calls of a flow.
 func (d *DemandMeter) Count(now time.Duration, f Flow, n int) {
 	if !d.started {
-		d.began, d.started = now, true
+		d.firstCount, d.started = now, true
 	}
-	some := float64(n) / d.memory.Seconds()
+	increment := float64(n) / d.memory.Seconds()
 	a := d.flows[f]
 	if a == nil {
-		if len(d.flows) >= d.most && !d.makeRoom(now, some) {
+		if len(d.flows) >= d.maxFlows && !d.evictBelow(now, increment) {
 			d.Dropped += n
 			return
 		}
-		a = &aged{last: now}
+		a = &agedRate{updated: now}
 		d.flows[f] = a
 	}
-	a.v = a.at(now, d.memory) + some
-	a.last = max(now, a.last)
+	a.rate = a.rateAt(now, d.memory) + increment
+	a.updated = max(now, a.updated)
 }
 
-// makeRoom drops the least flow if it is below a rate.
-func (d *DemandMeter) makeRoom(now time.Duration, rate float64) bool {
-	var least Flow
-	low := math.Inf(1)
+// evictBelow removes the flow of lowest rate if its rate is below the given one.
+func (d *DemandMeter) evictBelow(now time.Duration, rate float64) bool {
+	var lowest Flow
+	lowestRate := math.Inf(1)
 	for f, a := range d.flows {
-		v := a.at(now, d.memory)
-		if v < low || v == low && cmp.Or(cmp.Compare(f.Class, least.Class), cmp.Compare(f.To, least.To)) < 0 {
-			least, low = f, v
+		decayed := a.rateAt(now, d.memory)
+		if decayed < lowestRate || decayed == lowestRate && cmp.Or(cmp.Compare(f.Class, lowest.Class), cmp.Compare(f.To, lowest.To)) < 0 {
+			lowest, lowestRate = f, decayed
 		}
 	}
-	if low >= rate {
+	if lowestRate >= rate {
 		return false
 	}
-	delete(d.flows, least)
+	delete(d.flows, lowest)
 	return true
 }
 
-// Coverage is the share of a full memory that has passed: until then the measure says
-// little of flows that have not come by chance.
+// Coverage returns the share, from 0 to 1, of the exponential weights that lies after the
+// first call. While it is low, a flow without calls may only have had none by chance.
 func (d *DemandMeter) Coverage(now time.Duration) float64 {
-	if !d.started || now <= d.began {
+	if !d.started || now <= d.firstCount {
 		return 0
 	}
-	return 1 - math.Exp(-float64(now-d.began)/float64(d.memory))
+	return 1 - math.Exp(-float64(now-d.firstCount)/float64(d.memory))
 }
 
-// FlowRate is one flow's calls a second.
+// FlowRate is the call rate of a flow, in calls per second.
 type FlowRate struct {
 	Flow
 	Rate float64
 }
 
-// Rates returns all flows with their rates, corrected for a memory that is not full
-// yet, in the order of their names.
+// Rates returns the rates of all flows, sorted by class and destination. They are corrected
+// for the time since the first call being shorter than the memory.
 func (d *DemandMeter) Rates(now time.Duration) []FlowRate {
-	known := d.Coverage(now)
-	if known == 0 {
+	coverage := d.Coverage(now)
+	if coverage == 0 {
 		return nil
 	}
-	var out []FlowRate
+	var rates []FlowRate
 	for f, a := range d.flows {
-		out = append(out, FlowRate{f, a.at(now, d.memory) / known})
+		rates = append(rates, FlowRate{f, a.rateAt(now, d.memory) / coverage})
 	}
-	slices.SortFunc(out, func(a, b FlowRate) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.To, b.To)) })
-	return out
+	slices.SortFunc(rates, func(a, b FlowRate) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.To, b.To)) })
+	return rates
 }
--- a/decide/replan/replan.go
+++ b/decide/replan/replan.go
@@ -9,34 +9,35 @@
 	"violetspan.example/violetspan/decide/plan"
 )
 
-// ErrOtherInventory says that a plan was made for switches, groups, classes or tenants that
-// are not the inventory's.
+// ErrOtherInventory is returned for a plan that was made for other switches, groups, classes
+// or tenants than the inventory's.
 var ErrOtherInventory = errors.New("the plan is for another inventory")
 
-// Settings of a Planner. The zero value of a field means its default.
+// Settings configures a Planner. The zero value of a field means its default, which is
+// given at the end of its comment.
 type Settings struct {
-	OwnSwitch     string        // the own exchange's switch
-	Interval      time.Duration // between two solves, end to start; 60 s
-	Validity      time.Duration // a published plan holds for so long; 10 min
-	Margin        float64       // by which a new plan's worth must beat the one in force; 0.01
-	Confirmations int           // solves in a row that must; 2
-	Cooldown      time.Duration // least time between two plans; 2 min
-	Memory        time.Duration // of the measured demand; 2 min
-	MaxFlows      int           // flows that are measured; 4,096
-	MinCoverage   float64       // share of the memory that must have passed; 0.8
+	OwnSwitch     string        // ID of the own exchange's switch; no default
+	Interval      time.Duration // from the end of one solve to the start of the next; 60 s
+	Validity      time.Duration // how long a published plan stays valid; 10 min
+	Margin        float64       // relative increase in worth for a new plan to be better than the one in force; 0.01
+	Confirmations int           // consecutive solves that must yield a better plan; 2
+	Cooldown      time.Duration // minimum time in force before a better plan replaces it; 2 min
+	Memory        time.Duration // time constant of the measured demand; 2 min
+	MaxFlows      int           // maximum number of measured flows; 4,096
+	MinCoverage   float64       // DemandMeter.Coverage required for the first solve; 0.8
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns s with defaults for unset fields.
 func (s Settings) WithDefaults() Settings {
-	def := func(d *time.Duration, v time.Duration) {
-		if *d <= 0 {
-			*d = v
+	setDefault := func(field *time.Duration, value time.Duration) {
+		if *field <= 0 {
+			*field = value
 		}
 	}
-	def(&s.Interval, time.Minute)
-	def(&s.Validity, 10*time.Minute)
-	def(&s.Cooldown, 2*time.Minute)
-	def(&s.Memory, 2*time.Minute)
+	setDefault(&s.Interval, time.Minute)
+	setDefault(&s.Validity, 10*time.Minute)
+	setDefault(&s.Cooldown, 2*time.Minute)
+	setDefault(&s.Memory, 2*time.Minute)
 	if s.Margin <= 0 {
 		s.Margin = 0.01
 	}
@@ -52,17 +53,17 @@
 	return s
 }
 
-// Action is something that the host does for a Planner.
+// Action is a request of a Planner to its host.
 type Action interface{ isAction() }
 
-// Solve asks for a plan of a problem, off the call path; Solved answers it. Only one
-// is asked for at a time.
+// Solve asks the host to solve Problem off the call path and to pass the result to
+// HandleSolved with ID. At most one result is awaited at a time.
 type Solve struct {
 	Problem *plan.Problem
-	Ticket  uint64
+	ID      uint64
 }
 
-// Publish brings a plan into force.
+// Publish puts a plan into force until the given time.
 type Publish struct {
 	Version uint64
 	Problem *plan.Problem
@@ -70,15 +71,16 @@
 	Until   time.Duration
 }
 
-// Withdraw ends the plan in force; the version is above that plan's.
+// Withdraw withdraws the plan in force. Version is above that plan's.
 type Withdraw struct{ Version uint64 }
 
-// Log is a line for the operators.
+// Log is a log line for the operators.
 type Log struct {
 	Text string
 	Err  error // or nil
-	// Figures that go with it: worth a second of the plan in force and of the new one
-	// under the same demand, and how many solves in a row it has won.
+	// OldWorth and NewWorth are the worth per second of the plan in force and of the new
+	// one under the same demand. Confirmations is the number of consecutive solves that
+	// yielded a better plan.
 	OldWorth, NewWorth float64
 	Confirmations      int
 }
@@ -88,212 +90,212 @@
 func (Withdraw) isAction() {}
 func (Log) isAction()      {}
 
-// phase of a Planner.
+// phase is the phase of a Planner.
 type phase uint8
 
 const (
-	idle    phase = iota // until the next solve is due
-	solving              // an answer is awaited
+	idle    phase = iota // waiting for the next solve
+	solving              // waiting for the result of a solve
 )
 
-// Planner keeps a plan that fits the measured demand.
+// Planner keeps a plan in force that fits the measured demand.
 type Planner struct {
-	set     Settings
-	base    *plan.Problem // of the inventory, with its planned demand
-	demand  *DemandMeter
-	phase   phase
-	ticket  uint64
-	asked   *plan.Problem
-	due     time.Duration
-	version uint64
-	force   *plan.Answer // in force; nil: none
-	problem *plan.Problem
-	until   time.Duration
-	since   time.Duration
-	won     int
+	settings       Settings
+	inventory      *plan.Problem // with the planned demand
+	meter          *DemandMeter
+	phase          phase
+	solveID        uint64
+	solvingProblem *plan.Problem
+	nextSolve      time.Duration
+	version        uint64
+	inForce        *plan.Answer // nil: none
+	inForceProblem *plan.Problem
+	validUntil     time.Duration
+	inForceSince   time.Duration
+	confirmations  int
 }
 
-// New returns a planner without a plan. Versions begin above the given one, so that
-// they rise over restarts if the host gives the time.
+// New returns a Planner without a plan. Versions start above the given one. A host that
+// passes the current time gets versions that increase across restarts.
 func New(s Settings, version uint64) *Planner {
 	s = s.WithDefaults()
-	return &Planner{set: s, version: version, demand: NewDemandMeter(s.Memory, s.MaxFlows)}
+	return &Planner{settings: s, version: version, meter: NewDemandMeter(s.Memory, s.MaxFlows)}
 }
 
-// Count takes in n calls of the own exchange's callers.
-func (p *Planner) Count(now time.Duration, f Flow, n int) { p.demand.Count(now, f, n) }
+// Count records n calls of the own exchange's callers.
+func (p *Planner) Count(now time.Duration, f Flow, n int) { p.meter.Count(now, f, n) }
 
-// SetInventory takes a new inventory. A plan in force that is not for it ends: a switch,
-// group or class of it may be gone. An answer on its way is for the old one and will
-// be dropped.
-func (p *Planner) SetInventory(now time.Duration, base *plan.Problem) []Action {
-	same := p.base != nil && SameExceptDemand(p.base, base)
-	p.base = base
+// SetInventory sets the inventory. If more than its demand has changed, the plan in force
+// is withdrawn, because a switch, group or class that it uses may be gone, and the result of
+// a solve in progress will be ignored, because it is for the old inventory.
+func (p *Planner) SetInventory(now time.Duration, inventory *plan.Problem) []Action {
+	same := p.inventory != nil && SameExceptDemand(p.inventory, inventory)
+	p.inventory = inventory
 	if same {
 		return nil
 	}
-	p.phase, p.asked, p.due, p.won = idle, nil, now, 0
-	if p.force == nil {
+	p.phase, p.solvingProblem, p.nextSolve, p.confirmations = idle, nil, now, 0
+	if p.inForce == nil {
 		return nil
 	}
-	p.force = nil
+	p.inForce = nil
 	p.version++
-	return []Action{Withdraw{p.version}, Log{Text: "the inventory has changed: the plan is dropped"}}
+	return []Action{Withdraw{p.version}, Log{Text: "plan dropped: the inventory changed"}}
 }
 
-// Import brings a plan from outside into force, such as an operator's file. It must be
-// for the present inventory, whatever costs and blocking it was made with, and pass
-// the verifier, or nothing changes.
-func (p *Planner) Import(now time.Duration, problem *plan.Problem, a *plan.Answer, gap float64, valid time.Duration) ([]Action, error) {
-	if p.base == nil {
+// Import puts an external plan, such as an operator's file, into force. The plan must be
+// for the current inventory, though its costs and target blocking may differ, and it must
+// pass verification. Otherwise Import returns an error and changes nothing.
+func (p *Planner) Import(now time.Duration, problem *plan.Problem, a *plan.Answer, gap float64, validity time.Duration) ([]Action, error) {
+	if p.inventory == nil {
 		return nil, ErrOtherInventory
 	}
-	base := *p.base
-	base.Target, base.Costs = problem.Target, problem.Costs
-	if !SameExceptDemand(&base, problem) {
+	expected := *p.inventory
+	expected.Target, expected.Costs = problem.Target, problem.Costs
+	if !SameExceptDemand(&expected, problem) {
 		return nil, ErrOtherInventory
 	}
 	if _, err := plan.Verify(problem, a, gap); err != nil {
-		return nil, fmt.Errorf("the plan fails its verification: %w", err)
+		return nil, fmt.Errorf("plan verification failed: %w", err)
 	}
-	return p.publish(now, problem, a, valid), nil
+	return p.publish(now, problem, a, validity), nil
 }
 
-func (p *Planner) publish(now time.Duration, problem *plan.Problem, a *plan.Answer, valid time.Duration) []Action {
+func (p *Planner) publish(now time.Duration, problem *plan.Problem, a *plan.Answer, validity time.Duration) []Action {
 	p.version++
-	p.force, p.problem, p.until, p.since, p.won = a, problem, now+valid, now, 0
-	return []Action{Publish{p.version, problem, a, p.until}}
+	p.inForce, p.inForceProblem, p.validUntil, p.inForceSince, p.confirmations = a, problem, now+validity, now, 0
+	return []Action{Publish{p.version, problem, a, p.validUntil}}
 }
 
-// Tick is to be called now and then, some times in each Every.
+// Tick must be called several times per Settings.Interval.
 func (p *Planner) Tick(now time.Duration) []Action {
-	var out []Action
-	if p.force != nil && now >= p.until {
-		p.force = nil
+	var actions []Action
+	if p.inForce != nil && now >= p.validUntil {
+		p.inForce = nil
 		p.version++
-		out = append(out, Withdraw{p.version}, Log{Text: "the plan is past its time: dropped"})
+		actions = append(actions, Withdraw{p.version}, Log{Text: "plan dropped: it expired"})
 	}
-	if p.phase != idle || p.base == nil || now < p.due || p.demand.Coverage(now) < p.set.MinCoverage {
-		return out
+	if p.phase != idle || p.inventory == nil || now < p.nextSolve || p.meter.Coverage(now) < p.settings.MinCoverage {
+		return actions
 	}
 	p.phase = solving
-	p.ticket++
-	p.asked = p.present(now)
-	return append(out, Solve{p.asked, p.ticket})
+	p.solveID++
+	p.solvingProblem = p.currentProblem(now)
+	return append(actions, Solve{p.solvingProblem, p.solveID})
 }
 
-// present is the inventory's problem with what is measured in place of what was
-// planned, for the calls of the own exchange. Others' demand is as planned: this
-// instance doesn't see it.
-func (p *Planner) present(now time.Duration) *plan.Problem {
-	q := *p.base
-	q.Demands = slices.Clone(p.base.Demands)
-	seen := map[Flow]float64{}
-	for _, r := range p.demand.Rates(now) {
-		seen[r.Flow] = r.Rate
+// currentProblem returns the inventory's problem with the measured demand in place of the
+// planned one for calls from the own exchange. The demand of other exchanges stays as
+// planned, because this instance doesn't see their calls.
+func (p *Planner) currentProblem(now time.Duration) *plan.Problem {
+	problem := *p.inventory
+	problem.Demands = slices.Clone(p.inventory.Demands)
+	measured := map[Flow]float64{}
+	for _, r := range p.meter.Rates(now) {
+		measured[r.Flow] = r.Rate
 	}
-	tenants := map[Flow]float64{} // planned by all tenants together
-	for _, d := range q.Demands {
-		if d.From == p.set.OwnSwitch {
-			tenants[Flow{d.Class, d.To}] += d.Rate
+	planned := map[Flow]float64{} // sum over all tenants
+	for _, d := range problem.Demands {
+		if d.From == p.settings.OwnSwitch {
+			planned[Flow{d.Class, d.To}] += d.Rate
 		}
 	}
-	for i, d := range q.Demands {
-		if d.From != p.set.OwnSwitch {
+	for i, d := range problem.Demands {
+		if d.From != p.settings.OwnSwitch {
 			continue
 		}
 		f := Flow{d.Class, d.To}
 		share := 0.0
-		if tenants[f] > 0 {
-			share = d.Rate / tenants[f]
+		if planned[f] > 0 {
+			share = d.Rate / planned[f]
 		}
-		q.Demands[i].Rate = min(seen[f]*share, plan.MaxFigure)
-		q.Demands[i].Must = min(d.Must, q.Demands[i].Rate)
+		problem.Demands[i].Rate = min(measured[f]*share, plan.MaxFigure)
+		problem.Demands[i].Must = min(d.Must, problem.Demands[i].Rate)
 	}
-	known := map[string]bool{}
-	for _, s := range q.Switches {
-		known[s.ID] = true
+	switches := map[string]bool{}
+	for _, s := range problem.Switches {
+		switches[s.ID] = true
 	}
-	class := map[string]bool{}
-	for _, c := range q.Classes {
-		class[c.ID] = true
+	classes := map[string]bool{}
+	for _, c := range problem.Classes {
+		classes[c.ID] = true
 	}
-	for _, r := range p.demand.Rates(now) {
-		if _, planned := tenants[r.Flow]; !planned && known[r.To] && class[r.Class] && r.To != p.set.OwnSwitch && known[p.set.OwnSwitch] {
-			q.Demands = append(q.Demands, plan.Demand{Class: r.Class, From: p.set.OwnSwitch, To: r.To, Rate: r.Rate})
+	for _, r := range p.meter.Rates(now) {
+		if _, found := planned[r.Flow]; !found && switches[r.To] && classes[r.Class] && r.To != p.settings.OwnSwitch && switches[p.settings.OwnSwitch] {
+			problem.Demands = append(problem.Demands, plan.Demand{Class: r.Class, From: p.settings.OwnSwitch, To: r.To, Rate: r.Rate})
 		}
 	}
-	return &q
+	return &problem
 }
 
-// HandleSolved brings the answer to a Solve, or its error. One that is not awaited any more
-// is ignored.
-func (p *Planner) HandleSolved(now time.Duration, ticket uint64, a *plan.Answer, err error) []Action {
-	if p.phase != solving || ticket != p.ticket {
+// HandleSolved handles the result of the Solve with the given ID. A result that is no
+// longer awaited is ignored.
+func (p *Planner) HandleSolved(now time.Duration, id uint64, a *plan.Answer, err error) []Action {
+	if p.phase != solving || id != p.solveID {
 		return nil
 	}
-	problem := p.asked
-	p.phase, p.asked, p.due = idle, nil, now+p.set.Interval
+	problem := p.solvingProblem
+	p.phase, p.solvingProblem, p.nextSolve = idle, nil, now+p.settings.Interval
 	if err != nil {
-		p.won = 0
+		p.confirmations = 0
 		return []Action{Log{Text: "no new plan", Err: err}}
 	}
-	old := 0.0
-	if p.force != nil {
-		old = plan.Carry(problem, p.force)
+	oldWorth := 0.0
+	if p.inForce != nil {
+		oldWorth = plan.Carry(problem, p.inForce)
 	}
-	n := Log{Text: "plan kept", OldWorth: old, NewWorth: a.Worth}
+	entry := Log{Text: "plan kept", OldWorth: oldWorth, NewWorth: a.Worth}
 	switch {
-	case p.force == nil:
-		n.Text = "plan taken: none was in force"
-	case a.Worth < old*(1+p.set.Margin):
-		p.won = 0
-		if p.until-now > p.set.Validity/2 {
-			return []Action{n}
+	case p.inForce == nil:
+		entry.Text = "plan adopted: none was in force"
+	case a.Worth < oldWorth*(1+p.settings.Margin):
+		p.confirmations = 0
+		if p.validUntil-now > p.settings.Validity/2 {
+			return []Action{entry}
 		}
-		n.Text = "plan renewed: the one in force nears its end"
+		entry.Text = "plan renewed: the one in force expires soon"
 	default:
-		p.won++
-		n.Confirmations = p.won
-		if p.won < p.set.Confirmations || now < p.since+p.set.Cooldown {
-			n.Text = "a better plan waits to be confirmed"
-			return []Action{n}
+		p.confirmations++
+		entry.Confirmations = p.confirmations
+		if p.confirmations < p.settings.Confirmations || now < p.inForceSince+p.settings.Cooldown {
+			entry.Text = "better plan awaits confirmation"
+			return []Action{entry}
 		}
-		n.Text = "plan taken: it is better"
+		entry.Text = "plan adopted: better than the one in force"
 	}
-	return append(p.publish(now, problem, a, p.set.Validity), n)
+	return append(p.publish(now, problem, a, p.settings.Validity), entry)
 }
 
-// SameExceptDemand says whether two problems differ in their demand alone. Order has no
-// meaning.
+// SameExceptDemand reports whether two problems are equal except for their demands. The
+// order of lists does not matter.
 func SameExceptDemand(a, b *plan.Problem) bool {
 	if a.Costs != b.Costs || a.Target != b.Target {
 		return false
 	}
-	ends := func(g plan.Group) plan.Group {
+	sortEnds := func(g plan.Group) plan.Group {
 		g.A, g.B = min(g.A, g.B), max(g.A, g.B)
 		return g
 	}
 	return sameSet(a.Classes, b.Classes, nil) && sameSet(a.Switches, b.Switches, nil) &&
-		sameSet(a.Groups, b.Groups, ends) && sameSet(a.Tenants, b.Tenants, nil)
+		sameSet(a.Groups, b.Groups, sortEnds) && sameSet(a.Tenants, b.Tenants, nil)
 }
 
-func sameSet[T comparable](a, b []T, norm func(T) T) bool {
+func sameSet[T comparable](a, b []T, normalize func(T) T) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	left := map[T]int{}
+	counts := map[T]int{}
 	for _, x := range a {
-		if norm != nil {
-			x = norm(x)
+		if normalize != nil {
+			x = normalize(x)
 		}
-		left[x]++
+		counts[x]++
 	}
 	for _, x := range b {
-		if norm != nil {
-			x = norm(x)
+		if normalize != nil {
+			x = normalize(x)
 		}
-		if left[x]--; left[x] < 0 {
+		if counts[x]--; counts[x] < 0 {
 			return false
 		}
 	}
--- a/decide/replan/replan_test.go
+++ b/decide/replan/replan_test.go
@@ -17,7 +17,7 @@
 
 const sec = time.Second
 
-// A rate is found after a step, and known about as well as the comment says.
+// The meter follows a step in the rate, with the accuracy that DemandMeter documents.
 func TestDemandFollows(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	d := NewDemandMeter(60*sec, 10)
@@ -31,7 +31,7 @@
 		d.Count(now, f, 1)
 		rates := d.Rates(now)
 		if len(rates) == 0 {
-			continue // the first call: no time has passed
+			continue // no time has passed since the first call
 		}
 		got := rates[0].Rate
 		switch s := now.Seconds(); {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Memory is bounded; the busy flows stay.
+// The number of flows stays within the limit, and the busiest flows are kept.
 func TestDemandIsBounded(t *testing.T) {
 	d := NewDemandMeter(60*sec, 8)
 	for i := range 4000 {
@@ -68,182 +68,184 @@
 	}
 }
 
-// mesh has three switches; the group a-c is as big as given.
-func mesh(circuits int) *plan.Problem {
+// testProblem returns a problem with three switches and the given number of circuits in
+// group a-c.
+func testProblem(circuits int) *plan.Problem {
 	return &plan.Problem{Classes: []plan.Class{{ID: "n", Width: 1, Hold: 10, Worth: 1}},
 		Switches: []plan.Switch{{ID: "a", SetUps: 50}, {ID: "b", SetUps: 50}, {ID: "c", SetUps: 50}},
 		Groups:   []plan.Group{{A: "a", B: "b", Circuits: 40}, {A: "a", B: "c", Circuits: circuits}, {A: "b", B: "c", Circuits: 40}},
 		Demands:  []plan.Demand{{Class: "n", From: "a", To: "c", Rate: 3}, {Class: "n", From: "c", To: "b", Rate: 1}}}
 }
 
-// bench plays a planner with a host that solves at once or later.
-type bench struct {
-	t     *testing.T
-	p     *Planner
-	asked []Solve
-	log   []string
-	last  uint64
+// testHost is the host of a Planner. It logs the planner's actions and solves on request.
+type testHost struct {
+	t           *testing.T
+	p           *Planner
+	solves      []Solve
+	log         []string
+	lastVersion uint64
 }
 
-func (b *bench) do(acts []Action) {
-	for _, a := range acts {
+func (h *testHost) apply(actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Solve:
-			b.asked = append(b.asked, a)
-			b.log = append(b.log, "solve")
+			h.solves = append(h.solves, a)
+			h.log = append(h.log, "solve")
 		case Publish:
-			b.rises(a.Version)
-			b.log = append(b.log, fmt.Sprintf("publish until %v", a.Until))
+			h.checkVersion(a.Version)
+			h.log = append(h.log, fmt.Sprintf("publish until %v", a.Until))
 		case Withdraw:
-			b.rises(a.Version)
-			b.log = append(b.log, "withdraw")
+			h.checkVersion(a.Version)
+			h.log = append(h.log, "withdraw")
 		case Log:
-			b.log = append(b.log, a.Text)
+			h.log = append(h.log, a.Text)
 		}
 	}
 }
 
-func (b *bench) rises(version uint64) {
-	if version <= b.last {
-		b.t.Errorf("version %d after %d", version, b.last)
+func (h *testHost) checkVersion(version uint64) {
+	if version <= h.lastVersion {
+		h.t.Errorf("version %d after %d", version, h.lastVersion)
 	}
-	b.last = version
+	h.lastVersion = version
 }
 
-func (b *bench) answer(now time.Duration, change func(a *plan.Answer) error) {
-	s := b.asked[len(b.asked)-1]
+func (h *testHost) answer(now time.Duration, change func(a *plan.Answer) error) {
+	s := h.solves[len(h.solves)-1]
 	a, err := plan.Solve(s.Problem, plan.Options{})
 	if err == nil && change != nil {
 		err = change(a)
 	}
-	b.do(b.p.HandleSolved(now, s.Ticket, a, err))
+	h.apply(h.p.HandleSolved(now, s.ID, a, err))
 }
 
-func (b *bench) want(lines ...string) {
-	b.t.Helper()
-	if diff := cmp.Diff(lines, b.log); diff != "" {
-		b.t.Errorf("(-want +got)\n%s", diff)
+func (h *testHost) expectLog(lines ...string) {
+	h.t.Helper()
+	if diff := cmp.Diff(lines, h.log); diff != "" {
+		h.t.Errorf("(-want +got)\n%s", diff)
 	}
-	b.log = nil
+	h.log = nil
 }
 
-func start(t *testing.T) *bench {
-	b := &bench{t: t, p: New(Settings{OwnSwitch: "a", Interval: 10 * sec, Validity: 100 * sec, Cooldown: 15 * sec, Memory: 10 * sec, Confirmations: 2}, 5)}
-	b.do(b.p.SetInventory(0, mesh(20)))
-	return b
+func newTestHost(t *testing.T) *testHost {
+	h := &testHost{t: t, p: New(Settings{OwnSwitch: "a", Interval: 10 * sec, Validity: 100 * sec, Cooldown: 15 * sec, Memory: 10 * sec, Confirmations: 2}, 5)}
+	h.apply(h.p.SetInventory(0, testProblem(20)))
+	return h
 }
 
-// calls counts n calls a second to c until a time.
-func (b *bench) calls(from, to time.Duration, n int) {
+// countCalls records n calls per second to c in [from, to).
+func (h *testHost) countCalls(from, to time.Duration, n int) {
 	for now := from; now < to; now += sec {
-		b.p.Count(now, Flow{"n", "c"}, n)
+		h.p.Count(now, Flow{"n", "c"}, n)
 	}
 }
 
-// The life of a plan: nothing before demand is known, the first answer taken, a better
-// one only once confirmed and past the cool time, a like one kept, an old one renewed,
-// one past its time withdrawn.
+// The life of a plan: no solve before the demand is known; the first plan is adopted; a
+// better one replaces it only once confirmed and after the cooldown; without a better one
+// the plan is kept, or renewed when it expires soon; an expired plan is withdrawn.
 func TestLifeOfAPlan(t *testing.T) {
-	b := start(t)
-	b.calls(0, 5*sec, 3)
-	b.do(b.p.Tick(5 * sec))
-	b.want()
-	b.calls(5*sec, 20*sec, 3)
-	b.do(b.p.Tick(20 * sec))
-	b.do(b.p.Tick(21 * sec)) // one at a time
-	b.want("solve")
-	b.answer(22*sec, nil)
-	b.want("publish until 2m2s", "plan taken: none was in force")
-	b.do(b.p.Tick(31 * sec))
-	b.want()
-	b.calls(20*sec, 32*sec, 3)
-	b.do(b.p.Tick(32 * sec))
-	b.answer(33*sec, nil)
-	b.want("solve", "plan kept")
-	b.calls(32*sec, 60*sec, 3)
-	// Twice the calls: the old shares overfill the direct group, a new plan is better.
-	b.calls(60*sec, 71*sec, 6)
-	b.do(b.p.Tick(71 * sec))
-	b.answer(72*sec, nil)
-	b.want("solve", "a better plan waits to be confirmed")
-	b.calls(71*sec, 82*sec, 6)
-	b.do(b.p.Tick(82 * sec))
-	b.answer(83*sec, nil)
-	b.want("solve", "publish until 3m3s", "plan taken: it is better")
-	b.calls(82*sec, 140*sec, 6)
-	b.do(b.p.Tick(140 * sec))
-	b.answer(141*sec, nil)
-	b.want("solve", "publish until 4m1s", "plan renewed: the one in force nears its end")
-	b.do(b.p.Tick(241 * sec))
-	b.want("withdraw", "the plan is past its time: dropped", "solve")
+	h := newTestHost(t)
+	h.countCalls(0, 5*sec, 3)
+	h.apply(h.p.Tick(5 * sec))
+	h.expectLog()
+	h.countCalls(5*sec, 20*sec, 3)
+	h.apply(h.p.Tick(20 * sec))
+	h.apply(h.p.Tick(21 * sec)) // one solve at a time
+	h.expectLog("solve")
+	h.answer(22*sec, nil)
+	h.expectLog("publish until 2m2s", "plan adopted: none was in force")
+	h.apply(h.p.Tick(31 * sec))
+	h.expectLog()
+	h.countCalls(20*sec, 32*sec, 3)
+	h.apply(h.p.Tick(32 * sec))
+	h.answer(33*sec, nil)
+	h.expectLog("solve", "plan kept")
+	h.countCalls(32*sec, 60*sec, 3)
+	// At twice the call rate the old shares overload the direct group: a new plan is better.
+	h.countCalls(60*sec, 71*sec, 6)
+	h.apply(h.p.Tick(71 * sec))
+	h.answer(72*sec, nil)
+	h.expectLog("solve", "better plan awaits confirmation")
+	h.countCalls(71*sec, 82*sec, 6)
+	h.apply(h.p.Tick(82 * sec))
+	h.answer(83*sec, nil)
+	h.expectLog("solve", "publish until 3m3s", "plan adopted: better than the one in force")
+	h.countCalls(82*sec, 140*sec, 6)
+	h.apply(h.p.Tick(140 * sec))
+	h.answer(141*sec, nil)
+	h.expectLog("solve", "publish until 4m1s", "plan renewed: the one in force expires soon")
+	h.apply(h.p.Tick(241 * sec))
+	h.expectLog("withdraw", "plan dropped: it expired", "solve")
 }
 
-// An answer that fails, comes too late or is for another inventory changes nothing.
+// A solve that fails, ends too late or is for another inventory changes nothing.
 func TestBadAnswers(t *testing.T) {
-	b := start(t)
-	b.calls(0, 60*sec, 3)
-	b.do(b.p.Tick(20 * sec))
-	b.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnproven })
-	b.want("solve", "no new plan")
-	b.do(b.p.Tick(32 * sec))
-	b.do(b.p.SetInventory(33*sec, mesh(25))) // while it is on its way
-	b.answer(34*sec, nil)
-	b.want("solve")
-	b.do(b.p.Tick(35 * sec)) // a new one is due at once
-	b.answer(36*sec, nil)
-	b.want("solve", "publish until 2m16s", "plan taken: none was in force")
-	b.answer(37*sec, nil) // the same ticket again
-	b.want()
-	more := mesh(25)
-	more.Demands[1].Rate = 9
-	slices.Reverse(more.Groups)
-	b.do(b.p.SetInventory(38*sec, more)) // the same mesh, in another order
-	b.want()
-	gone := mesh(25)
-	gone.Switches[1].Phase = plan.Draining
-	b.do(b.p.SetInventory(39*sec, gone))
-	b.want("withdraw", "the inventory has changed: the plan is dropped")
+	h := newTestHost(t)
+	h.countCalls(0, 60*sec, 3)
+	h.apply(h.p.Tick(20 * sec))
+	h.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnproven })
+	h.expectLog("solve", "no new plan")
+	h.apply(h.p.Tick(32 * sec))
+	h.apply(h.p.SetInventory(33*sec, testProblem(25))) // while a solve is in progress
+	h.answer(34*sec, nil)
+	h.expectLog("solve")
+	h.apply(h.p.Tick(35 * sec)) // the next solve starts at once
+	h.answer(36*sec, nil)
+	h.expectLog("solve", "publish until 2m16s", "plan adopted: none was in force")
+	h.answer(37*sec, nil) // the same ID again
+	h.expectLog()
+	otherDemand := testProblem(25)
+	otherDemand.Demands[1].Rate = 9
+	slices.Reverse(otherDemand.Groups)
+	h.apply(h.p.SetInventory(38*sec, otherDemand)) // the same except for demand, in another order
+	h.expectLog()
+	changed := testProblem(25)
+	changed.Switches[1].Phase = plan.Draining
+	h.apply(h.p.SetInventory(39*sec, changed))
+	h.expectLog("withdraw", "plan dropped: the inventory changed")
 }
 
-// A plan from outside must be for this inventory and hold.
-func TestTake(t *testing.T) {
+// An imported plan must be for the current inventory and pass verification.
+func TestImport(t *testing.T) {
 	for name, c := range map[string]struct {
 		circuits int
 		more     float64
 		want     string
-	}{"as it is": {20, 0, ""}, "another inventory": {21, 0, "another inventory"}, "doctored": {20, 5, "verification"}} {
-		b, p := start(t), mesh(c.circuits)
+	}{"valid": {20, 0, ""}, "another inventory": {21, 0, "another inventory"}, "falsified": {20, 5, "verification"}} {
+		h, p := newTestHost(t), testProblem(c.circuits)
 		a, err := plan.Solve(p, plan.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		a.Routes[0].Direct += c.more
-		acts, err := b.p.Import(sec, p, a, 1e-6, time.Minute)
-		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) || (len(acts) > 0) != (err == nil) {
-			t.Errorf("%s: %v %v", name, acts, err)
+		actions, err := h.p.Import(sec, p, a, 1e-6, time.Minute)
+		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) || (len(actions) > 0) != (err == nil) {
+			t.Errorf("%s: %v %v", name, actions, err)
 		}
 	}
 }
 
-// Whatever comes in whatever order: versions rise, one solve at a time, a plan in
-// force is for the present mesh and within its time, and none changes before Cool.
+// Random events in random order: versions increase, at most one solve is requested per
+// event, the plan in force is always for the current inventory, and it is not replaced
+// before the cooldown.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		b := start(t)
+		h := newTestHost(t)
 		now := time.Duration(0)
-		var taken time.Duration
+		var adopted time.Duration
 		for range 200 {
 			now += time.Duration(r.Int64N(int64(8 * sec)))
-			before, force := len(b.asked), b.p.force
+			solvesBefore, planBefore := len(h.solves), h.p.inForce
 			switch r.IntN(6) {
 			case 0, 1:
-				b.do(b.p.Tick(now))
+				h.apply(h.p.Tick(now))
 			case 2:
-				b.p.Count(now, Flow{"n", []string{"b", "c", "x"}[r.IntN(3)]}, r.IntN(80))
+				h.p.Count(now, Flow{"n", []string{"b", "c", "x"}[r.IntN(3)]}, r.IntN(80))
 			case 3:
-				if len(b.asked) > 0 {
-					b.answer(now, func(*plan.Answer) error {
+				if len(h.solves) > 0 {
+					h.answer(now, func(*plan.Answer) error {
 						if r.IntN(4) == 0 {
 							return plan.ErrStopped
 						}
@@ -252,42 +254,42 @@
 				}
 			case 4:
 				if r.IntN(4) == 0 {
-					b.do(b.p.SetInventory(now, mesh(20+r.IntN(2))))
+					h.apply(h.p.SetInventory(now, testProblem(20+r.IntN(2))))
 				}
 			default:
-				if len(b.asked) > 0 { // an old ticket
-					b.do(b.p.HandleSolved(now, b.asked[0].Ticket+uint64(r.IntN(2)), nil, errors.New("late")))
+				if len(h.solves) > 0 { // an old ID
+					h.apply(h.p.HandleSolved(now, h.solves[0].ID+uint64(r.IntN(2)), nil, errors.New("late")))
 				}
 			}
-			if len(b.asked) > before+1 {
+			if len(h.solves) > solvesBefore+1 {
 				t.Fatal("two solves at once")
 			}
-			if b.p.force != force && force != nil && b.p.force != nil && now < taken+15*sec && b.p.until-now < b.p.set.Validity {
-				t.Fatal(seed, now, "changed too soon")
+			if h.p.inForce != planBefore && planBefore != nil && h.p.inForce != nil && now < adopted+15*sec && h.p.validUntil-now < h.p.settings.Validity {
+				t.Fatal(seed, now, "plan replaced before the cooldown")
 			}
-			if b.p.force != nil {
-				if !SameExceptDemand(b.p.problem, b.p.base) {
-					t.Fatal(seed, now, "a plan for another mesh")
+			if h.p.inForce != nil {
+				if !SameExceptDemand(h.p.inForceProblem, h.p.inventory) {
+					t.Fatal(seed, now, "plan in force for another inventory")
 				}
-				if b.p.force != force {
-					taken = now
+				if h.p.inForce != planBefore {
+					adopted = now
 				}
 			}
 		}
 	}
 }
 
-// Measured demand takes the place of the own exchange's planned one and no other's;
-// what nobody planned is added.
-func TestPresent(t *testing.T) {
-	b := start(t)
-	b.calls(0, 200*sec, 7)
+// Measured demand replaces the planned demand of the own exchange only; measured flows
+// that were not planned are added.
+func TestCurrentProblem(t *testing.T) {
+	h := newTestHost(t)
+	h.countCalls(0, 200*sec, 7)
 	for now := time.Duration(0); now < 200*sec; now += sec {
-		b.p.Count(now, Flow{"n", "b"}, 2)
-		b.p.Count(now, Flow{"n", "x"}, 2) // not listed
+		h.p.Count(now, Flow{"n", "b"}, 2)
+		h.p.Count(now, Flow{"n", "x"}, 2) // not in the inventory
 	}
 	got := map[string]float64{}
-	for _, d := range b.p.present(200 * sec).Demands {
+	for _, d := range h.p.currentProblem(200 * sec).Demands {
 		got[d.From+d.To] = math.Round(d.Rate)
 	}
 	if diff := cmp.Diff(map[string]float64{"ac": 7, "ab": 2, "cb": 1}, got); diff != "" {
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -228,7 +228,7 @@
 	go func() {
 		defer stop()
 		a, err := plan.Solve(s.Problem, plan.Options{Gap: l.set.Gap, Stop: func() bool { return ctx.Err() != nil }})
-		for o := (outcome{s.Ticket, a, err}); ; {
+		for o := (outcome{s.ID, a, err}); ; {
 			select {
 			case l.done <- o:
 				return
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -122,7 +122,7 @@
 	for _, c := range []struct {
 		deadline time.Duration
 		want     string
-	}{{0, "plan taken: none was in force"}, {time.Nanosecond, "no new plan"}} {
+	}{{0, "plan adopted: none was in force"}, {time.Nanosecond, "no new plan"}} {
 		l, h := loop(Settings{Measure: true, Replan: quick, Deadline: c.deadline})
 		if err := l.Inventory(three(), ids); err != nil {
 			t.Fatal(err)
