--- a/arch_test.go
+++ b/arch_test.go
@@ -22,23 +22,23 @@
 	no     []string // of all others
 	pure   bool     // no goroutine, no clock of its own
 }{
-	{"brain", nil, []string{"net", "os", "log", "sync", "github.com", "golang.org", "gonum.org", "go.yaml.in"}, true},
-	{"decide", []string{"brain", "decide"}, []string{"net", "os", "log", "sync", "go.yaml.in", "golang.org"}, true},
-	{"internal/mesh", []string{"brain", "decide"}, []string{"net", "os"}, true},
-	{"internal/lab", []string{"brain", "decide", "internal/mesh", "internal/strict"}, []string{"net"}, false},
+	{"routing", nil, []string{"net", "os", "log", "sync", "github.com", "golang.org", "gonum.org", "go.yaml.in"}, true},
+	{"decide", []string{"routing", "decide"}, []string{"net", "os", "log", "sync", "go.yaml.in", "golang.org"}, true},
+	{"internal/mesh", []string{"routing", "decide"}, []string{"net", "os"}, true},
+	{"internal/lab", []string{"routing", "decide", "internal/mesh", "internal/strict"}, []string{"net"}, false},
 	{"internal/metrics", nil, []string{"net"}, false},
-	{"internal/core", []string{"brain", "decide"}, []string{"net"}, false},
+	{"internal/core", []string{"routing", "decide"}, []string{"net"}, false},
 	{"internal/cluster", []string{"decide", "internal/strict"}, []string{"net/http"}, false},
-	{"internal/planner", []string{"brain", "decide", "internal/strict"}, []string{"net"}, false},
-	{"internal/platform", []string{"brain", "decide", "internal/core", "internal/sig", "internal/trunk", "internal/config", "internal/metrics"}, nil, false},
-	{"internal/callapi", []string{"brain", "decide", "internal/core", "internal/trunk", "internal/tenant"}, nil, false},
-	{"internal", []string{"brain", "decide", "internal"}, nil, false},
-	{"cmd", []string{"brain", "decide", "internal"}, nil, false},
+	{"internal/planner", []string{"routing", "decide", "internal/strict"}, []string{"net"}, false},
+	{"internal/platform", []string{"routing", "decide", "internal/core", "internal/sig", "internal/trunk", "internal/config", "internal/metrics"}, nil, false},
+	{"internal/callapi", []string{"routing", "decide", "internal/core", "internal/trunk", "internal/tenant"}, nil, false},
+	{"internal", []string{"routing", "decide", "internal"}, nil, false},
+	{"cmd", []string{"routing", "decide", "internal"}, nil, false},
 	{"example", nil, nil, false},
 }
 
 // Arrows run down only: cmd over internal/proxy over the fronts over the core over
-// decide and brain, and what decides does no I/O.
+// decide and routing, and what decides does no I/O.
 func TestLayers(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -8,15 +8,15 @@
 	"fmt"
 	"os"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/mesh"
 	"violetspan.example/violetspan/internal/wire"
+	"violetspan.example/violetspan/routing"
 )
 
 func main() {
 	policy := flag.String("policy", "module", "module, even or direct")
 	flag.Parse()
-	mk, ok := map[string]brain.Maker{"module": brain.Make, "even": mesh.Even, "direct": mesh.Direct}[*policy]
+	mk, ok := map[string]routing.Maker{"module": routing.Make, "even": mesh.Even, "direct": mesh.Direct}[*policy]
 	if !ok {
 		fmt.Fprintf(os.Stderr, "wirehost: -policy: %q is none of module, even and direct\n", *policy)
 		os.Exit(2)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,9 +14,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/tenant"
+	"violetspan.example/violetspan/routing"
 )
 
 // Server answers the administration API. Every field is wanted.
@@ -238,7 +238,7 @@
 	return http.StatusOK, withToken{v, token}, err
 }
 
-var stateNames = map[brain.State]string{brain.Ready: "up", brain.Draining: "draining"}
+var stateNames = map[routing.State]string{routing.Ready: "up", routing.Draining: "draining"}
 
 func (s *Server) switches(*http.Request) (int, any, error) {
 	type view struct {
--- a/internal/callapi/link.go
+++ b/internal/callapi/link.go
@@ -12,9 +12,9 @@
 
 	"github.com/coder/websocket"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/trunk"
+	"violetspan.example/violetspan/routing"
 )
 
 // switchConn is a connection to a switch that speaks the API; see trunk.Conn.
@@ -42,13 +42,13 @@
 	return s, nil
 }
 
-var notes = map[string]brain.Cause{
-	"":                 brain.CauseNone,
-	"no_circuit":       brain.CauseCircuits,
-	"turned_back":      brain.CauseTurnedBack,
-	"processor_full":   brain.CauseProcessor,
-	"number_busy":      brain.CauseNumber,
-	"destination_full": brain.CauseBeyond,
+var notes = map[string]routing.Cause{
+	"":                 routing.CauseNone,
+	"no_circuit":       routing.CauseCircuits,
+	"turned_back":      routing.CauseTurnedBack,
+	"processor_full":   routing.CauseProcessor,
+	"number_busy":      routing.CauseNumber,
+	"destination_full": routing.CauseBeyond,
 }
 
 // Read reads the next message. One that can't be read ends the connection:
@@ -73,7 +73,7 @@
 	}
 	cause, known := notes[m.Reason]
 	if !known {
-		cause = brain.CauseNone
+		cause = routing.CauseNone
 	}
 	switch m.Type {
 	case typeAnswer:
@@ -82,20 +82,20 @@
 			return ev, errBad{err.Error()}
 		}
 	case typeRefused:
-		ev.Kind, ev.End = trunk.End, core.End{Result: brain.Full, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Full, Cause: cause}
 	case typeFailed:
-		ev.Kind, ev.End = trunk.End, core.End{Result: brain.Error, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Error, Cause: cause}
 	case typeReleased:
-		ev.Kind, ev.End.Result = trunk.End, brain.Ended
+		ev.Kind, ev.End.Result = trunk.End, routing.Ended
 		if m.Reason == reasonCut {
-			ev.End.Result = brain.Reset
+			ev.End.Result = routing.Reset
 		}
 	case typeGroup:
 		if m.Free == nil || m.Size == nil || *m.Free < 0 || *m.Size < *m.Free {
 			ev.Note = errors.New("group: free and size are wanted")
 			return ev, nil
 		}
-		ev.Kind, ev.Report = trunk.Group, brain.NoReport
+		ev.Kind, ev.Report = trunk.Group, routing.NoReport
 		ev.Report.Free, ev.Report.Size = *m.Free, *m.Size
 	case typeError:
 		ev.Note = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,11 +19,11 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
 	"violetspan.example/violetspan/decide/replan"
 	"violetspan.example/violetspan/internal/planner"
 	"violetspan.example/violetspan/internal/tenant"
+	"violetspan.example/violetspan/routing"
 )
 
 // Platform is what the platform tells a signalling proxy at its start.
@@ -40,7 +40,7 @@
 
 // Settings are the module's settings and what the fronts need of them.
 type Settings struct {
-	Brain       brain.Settings
+	Brain       routing.Settings
 	Classes     map[string]int  // places in Brain.Classes
 	Widths      bool            // each class says how many circuits its calls take
 	Tenants     map[string]bool // nil: none are listed
@@ -416,7 +416,7 @@
 func (r *reader) settings(at string) Settings {
 	const most = math.MaxInt32
 	s := Settings{
-		Brain: brain.Settings{
+		Brain: routing.Settings{
 			Here:          r.whole(at+"extra.here", -1, -1, most),
 			Fleet:         r.whole(at+"fleetSize", 1, 1, most),
 			Pools:         r.text(at+"extra.topology", "meshed") == "groups",
@@ -449,7 +449,7 @@
 	}
 	for i := range n {
 		key := at + "classes." + strconv.Itoa(i) + "."
-		k := brain.Class{
+		k := routing.Class{
 			Goal: r.ms(key+"goalTimeMs", 0), Deadline: r.ms(key+"deadlineMs", 0), Worth: r.num(key+"worth", 1, 0, most),
 			Width: r.whole(at+"extra.widths."+strconv.Itoa(i), 1, 1, most),
 			Hold:  r.ms(at+"extra.classHoldMs."+strconv.Itoa(i), 0),
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // call is one call from its set-up to its end.
@@ -16,8 +16,8 @@
 	caller  Caller
 	ctx     context.Context // ends when the caller leaves
 	leave   context.CancelFunc
-	actions chan brain.Action // what the module wants done
-	replies chan reply        // what its switch said
+	actions chan routing.Action // what the module wants done
+	replies chan reply          // what its switch said
 
 	over chan struct{} // closed when the core has forgotten it
 
@@ -44,7 +44,7 @@
 
 func newCall(c *Core, s *SetUp, from Caller) *call {
 	k := &call{SetUp: s, name: fmt.Sprintf("%016x", s.ID), caller: from,
-		actions: make(chan brain.Action, 8), replies: make(chan reply, 4), over: make(chan struct{})}
+		actions: make(chan routing.Action, 8), replies: make(chan reply, 4), over: make(chan struct{})}
 	k.ctx, k.leave = context.WithCancel(c.ctx)
 	return k
 }
@@ -69,21 +69,21 @@
 	// up, so the module is told a somewhat earlier time.
 	due := time.NewTimer(time.Until(k.Deadline.Add(-guardMargin)))
 	defer due.Stop()
-	c.tell(brain.Offered{Call: k.name, Class: k.Class, Number: k.Number, Dest: k.Dest, Width: k.Width,
+	c.tell(routing.Offered{Call: k.name, Class: k.Class, Number: k.Number, Dest: k.Dest, Width: k.Width,
 		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, Cut: k.Again})
 
 	for {
 		// What the module wants next: a send now, or after a hold or a rest; or
 		// the final answer.
-		var send brain.Send
+		var send routing.Send
 		switch a := c.next(k, due.C).(type) {
-		case brain.Send:
+		case routing.Send:
 			send = a
-		case brain.Refuse:
+		case routing.Refuse:
 			k.caller.Refuse(k.ID, a.After)
 			c.opt.Observer.FinalAnswer(AnswerRefused)
 			return
-		case brain.Fail:
+		case routing.Fail:
 			k.caller.Fail(k.ID)
 			c.opt.Observer.FinalAnswer(AnswerFailed)
 			return
@@ -116,8 +116,8 @@
 			if err == nil {
 				l.GiveUp(k.ID)
 			}
-			c.tell(brain.Withdrawn{Call: k.name})
-			c.settle(k, send, sent, End{Result: brain.Cancelled}, true)
+			c.tell(routing.Withdrawn{Call: k.name})
+			c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
 			if how == byCaller {
 				c.opt.Observer.FinalAnswer(AnswerNotOwed)
 				return
@@ -126,34 +126,34 @@
 			c.opt.Observer.FinalAnswer(AnswerShutdown)
 			return
 		case errors.Is(err, ErrNotReached):
-			c.settle(k, send, sent, End{Result: brain.NotReached}, false)
+			c.settle(k, send, sent, End{Result: routing.NotReached}, false)
 		case errors.Is(err, ErrNotSent):
-			c.settle(k, send, sent, End{Result: brain.Unused}, false)
+			c.settle(k, send, sent, End{Result: routing.Unused}, false)
 		case err != nil:
-			c.settle(k, send, sent, End{Result: brain.Reset}, false)
+			c.settle(k, send, sent, End{Result: routing.Reset}, false)
 		case how == byClock:
 			l.GiveUp(k.ID)
-			c.settle(k, send, sent, End{Result: brain.TimedOut}, false)
+			c.settle(k, send, sent, End{Result: routing.TimedOut}, false)
 		case how == byModule:
 			l.GiveUp(k.ID)
-			c.settle(k, send, sent, End{Result: brain.Cancelled}, false)
+			c.settle(k, send, sent, End{Result: routing.Cancelled}, false)
 		case !r.answer:
-			if r.end.Result == brain.Ended {
-				r.end.Result = brain.Error // released without an answer
+			if r.end.Result == routing.Ended {
+				r.end.Result = routing.Error // released without an answer
 			}
 			c.settle(k, send, sent, r.end, false)
 		default:
-			c.tell(brain.Stood{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
+			c.tell(routing.Stood{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
 			if err := k.caller.Answer(k.ID, r.description); err != nil {
 				l.Release(k.ID)
-				c.settle(k, send, sent, End{Result: brain.Cancelled}, true)
+				c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
 				c.opt.Observer.FinalAnswer(AnswerNotDelivered)
 				c.opt.Observer.CallOver(EndNotDelivered)
 				return
 			}
 			c.answeredCaller(k)
 			c.opt.Observer.FinalAnswer(AnswerStands)
-			c.opt.Observer.Attempt(brain.Ended)
+			c.opt.Observer.Attempt(routing.Ended)
 
 			// The call stands until its switch ends it or its caller hangs up.
 			select {
@@ -162,7 +162,7 @@
 					l.Release(k.ID) // it may stand there yet
 				}
 				c.settle(k, send, sent, r.end, true)
-				k.caller.Release(k.ID, r.end.Result != brain.Ended)
+				k.caller.Release(k.ID, r.end.Result != routing.Ended)
 				c.opt.Observer.CallOver(r.why)
 			case <-k.ctx.Done():
 				why := EndLeftToNext
@@ -170,7 +170,7 @@
 					why = EndHungUp
 					l.Release(k.ID)
 				}
-				c.settle(k, send, sent, End{Result: brain.Cancelled}, true)
+				c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
 				c.opt.Observer.CallOver(why)
 			}
 			return
@@ -219,11 +219,11 @@
 // the module had ordered by then is settled as not used: the module would count
 // it as out for good, and after a few such calls send nothing to that switch.
 func (c *Core) withdraw(k *call) {
-	c.tell(brain.Withdrawn{Call: k.name})
+	c.tell(routing.Withdrawn{Call: k.name})
 	for len(k.actions) > 0 {
-		if send, ok := (<-k.actions).(brain.Send); ok {
+		if send, ok := (<-k.actions).(routing.Send); ok {
 			k.sends++
-			c.settle(k, send, time.Now(), End{Result: brain.Unused}, true)
+			c.settle(k, send, time.Now(), End{Result: routing.Unused}, true)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 			how = byShutdown
 			break wait
 		case a := <-k.actions:
-			if x, ok := a.(brain.Cancel); ok {
+			if x, ok := a.(routing.Cancel); ok {
 				if x.Attempt != k.sends-1 {
 					continue
 				}
@@ -298,12 +298,12 @@
 // This is the last place where the rules are kept: whatever the module says, a
 // call rests for as long as it must, and nothing new goes to a switch that
 // drains or is gone by the list at the moment of the first byte.
-func (c *Core) setUp(k *call, send brain.Send) (Link, error) {
+func (c *Core) setUp(k *call, send routing.Send) (Link, error) {
 	c.mu.Lock()
 	m := c.members[send.Host]
 	var err error
 	switch {
-	case m == nil || m.State != brain.Ready:
+	case m == nil || m.State != routing.Ready:
 		err = ErrNotSent
 	case time.Now().Before(k.notBefore):
 		err = errRest
@@ -335,18 +335,18 @@
 }
 
 // settle tells the module how an attempt ended.
-func (c *Core) settle(k *call, send brain.Send, sent time.Time, e End, over bool) {
+func (c *Core) settle(k *call, send routing.Send, sent time.Time, e End, over bool) {
 	now := time.Now()
 	if !over {
 		c.opt.Observer.Attempt(e.Result)
 	}
 	switch e.Result {
-	case brain.TimedOut, brain.Reset, brain.Cancelled:
+	case routing.TimedOut, routing.Reset, routing.Cancelled:
 		k.notBefore = now.Add(c.opt.Settings.Release)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.out = nil
-	c.tellLocked(brain.Settled{Call: k.name, Attempt: k.sends - 1, Host: send.Host, Result: e.Result, Cause: e.Cause,
-		Over: over, Delay: now.Sub(sent), Report: brain.NoReport})
+	c.tellLocked(routing.Settled{Call: k.name, Attempt: k.sends - 1, Host: send.Host, Result: e.Result, Cause: e.Cause,
+		Over: over, Delay: now.Sub(sent), Report: routing.NoReport})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,4 +1,4 @@
-// Package core runs calls by the decisions of package brain. It knows no wire:
+// Package core runs calls by the decisions of package routing. It knows no wire:
 // callers and switches are interfaces that the fronts fill.
 //
 // One Core owns one Controller, which is not safe for concurrent use, behind
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // SetUp is a call as its caller asked for it.
@@ -98,18 +98,18 @@
 	Addr    string
 	Number  int
 	Started time.Time // zero: long ago
-	State   brain.State
+	State   routing.State
 }
 
 // End says how a set-up or a standing call ended at its switch.
 type End struct {
-	Result brain.Result
-	Cause  brain.Cause
+	Result routing.Result
+	Cause  routing.Cause
 }
 
 // Options are what a Core is made of.
 type Options struct {
-	Settings brain.Settings
+	Settings routing.Settings
 	Seed     uint64
 	Log      *slog.Logger
 	// Open makes the link to a member, which tells the peer what it hears. It must
@@ -150,7 +150,7 @@
 	unknownEnds chan unknownEnd // hang-ups of calls that are not known here
 
 	mu         sync.Mutex // guards all below
-	brain      *brain.Controller
+	brain      *routing.Controller
 	calls      map[uint64]*call
 	names      map[string]*call // the same calls, as the module names them
 	members    map[string]*member
@@ -179,7 +179,7 @@
 
 // New makes a core that runs until the context ends.
 func New(ctx context.Context, opt Options) (*Core, error) {
-	b, err := brain.New(opt.Settings, opt.Seed)
+	b, err := routing.New(opt.Settings, opt.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -204,38 +204,38 @@
 func (c *Core) clock(t time.Time) time.Duration { return epoch + t.Sub(c.start) }
 
 // tell hands the module an event and its actions to those they are for.
-func (c *Core) tell(ev brain.Event) {
+func (c *Core) tell(ev routing.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tellLocked(ev)
 }
 
-func (c *Core) tellLocked(ev brain.Event) {
+func (c *Core) tellLocked(ev routing.Event) {
 	for _, a := range c.brain.Handle(c.clock(time.Now()), ev) {
 		switch a := a.(type) {
-		case brain.Send:
+		case routing.Send:
 			c.hand(a.Call, a)
-		case brain.Refuse:
+		case routing.Refuse:
 			c.hand(a.Call, a)
-		case brain.Fail:
+		case routing.Fail:
 			c.hand(a.Call, a)
-		case brain.Cancel:
+		case routing.Cancel:
 			c.hand(a.Call, a)
-		case brain.Wake:
+		case routing.Wake:
 			time.AfterFunc(a.After, func() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if !c.closed {
-					c.tellLocked(brain.Woken{})
+					c.tellLocked(routing.Woken{})
 				}
 			})
-		case brain.Log:
+		case routing.Log:
 			c.log.Info("module", "text", a.Text)
 		}
 	}
 }
 
-func (c *Core) hand(name string, a brain.Action) {
+func (c *Core) hand(name string, a routing.Action) {
 	k := c.names[name]
 	if k == nil {
 		return
@@ -250,7 +250,7 @@
 }
 
 // Plan tells the module of weights worked out ahead, valid until a time.
-func (c *Core) Plan(e brain.Planned, until time.Time) {
+func (c *Core) Plan(e routing.Planned, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
@@ -337,7 +337,7 @@
 func (c *Core) ready(m *member) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.members[m.ID] == m && m.State == brain.Ready
+	return c.members[m.ID] == m && m.State == routing.Ready
 }
 
 // Counts returns how many calls wait for an answer and how many stand.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // fake is a caller and, by its link, all switches. Its channels tell what it saw.
@@ -57,10 +57,10 @@
 
 func newCore(t *testing.T) (*Core, *fake) {
 	f := &fake{sent: make(chan string, 64), told: make(chan string, 64)}
-	class := brain.Class{Goal: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Width: 1}
+	class := routing.Class{Goal: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Width: 1}
 	c, err := New(t.Context(), Options{
-		Settings: brain.Settings{Here: 0, Fleet: 2, MaxAttempts: 5, Release: 20 * time.Millisecond,
-			CancelAllowed: true, Classes: []brain.Class{class}},
+		Settings: routing.Settings{Here: 0, Fleet: 2, MaxAttempts: 5, Release: 20 * time.Millisecond,
+			CancelAllowed: true, Classes: []routing.Class{class}},
 		Open: func(m Member, _ *Peer) (Link, error) { return fakeLink{f, m.ID}, nil }})
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	a := Member{ID: "a", Addr: "x", Number: 1}
 	list(c, false, a)
 	f.before = func(mayGo func() bool) error {
-		a.State = brain.Draining
+		a.State = routing.Draining
 		list(c, false, a)
 		if mayGo() {
 			t.Error("a set-up may go to a switch that drains")
@@ -136,7 +136,7 @@
 	f.want(t, f.sent, "old set-up")
 	peerOf(t, c, "old").Answered(1, []byte("d"))
 	f.want(t, f.told, "answer d")
-	list(c, false, Member{ID: "old", Addr: "x", Number: 1, State: brain.Gone}, Member{ID: "new", Addr: "x", Number: 1})
+	list(c, false, Member{ID: "old", Addr: "x", Number: 1, State: routing.Gone}, Member{ID: "new", Addr: "x", Number: 1})
 	offer(t, c, f, 2, 1)
 	f.want(t, f.sent, "new set-up")
 	f.want(t, f.told, "cut")
@@ -169,7 +169,7 @@
 	c.List(List{Source: "test", Full: true, Graceful: true})
 	offer(t, c, f, 2, 1)
 	f.want(t, f.told, "refused")
-	peerOf(t, c, "a").Ended(1, End{Result: brain.Ended})
+	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
 	f.want(t, f.told, "ended")
 	f.want(t, f.sent, "close a")
 }
@@ -184,9 +184,9 @@
 		t.Error("an answer counts once, and only from where the set-up is")
 	}
 	f.want(t, f.told, "answer ")
-	peerOf(t, c, "b").Ended(1, End{Result: brain.Ended})
-	peerOf(t, c, "a").Ended(1, End{Result: brain.Ended})
-	peerOf(t, c, "a").Ended(1, End{Result: brain.Ended})
+	peerOf(t, c, "b").Ended(1, End{Result: routing.Ended})
+	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
+	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
 	f.want(t, f.told, "ended")
 	if err := c.Settle(t.Context(), true); err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
 	began := time.Now()
-	peerOf(t, c, "a").Ended(1, End{Result: brain.Reset})
+	peerOf(t, c, "a").Ended(1, End{Result: routing.Reset})
 	f.want(t, f.sent, "a set-up")
 	if d := time.Since(began); d < 20*time.Millisecond {
 		t.Errorf("sent again after %v", d)
@@ -228,7 +228,7 @@
 		}
 		for _, im := range f.Imports {
 			path := strings.Trim(im.Path.Value, `"`)
-			if strings.HasPrefix(path, "violetspan.example/") && path != "violetspan.example/violetspan/brain" ||
+			if strings.HasPrefix(path, "violetspan.example/") && path != "violetspan.example/violetspan/routing" ||
 				strings.HasPrefix(path, "net") {
 				t.Errorf("%s imports %s", name, path)
 			}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // A List is what one source says of its switches.
@@ -32,7 +32,7 @@
 		for id, m := range c.members {
 			if m.source == l.Source && !present[id] {
 				left := m.Member
-				left.State = brain.Gone
+				left.State = routing.Gone
 				ms = append(ms[:len(ms):len(ms)], left)
 			}
 		}
@@ -40,12 +40,12 @@
 	if !l.Graceful {
 		ms = c.withDisplaced(ms, l.Source)
 	}
-	var ev brain.Listed
+	var ev routing.Listed
 	for _, m := range ms {
 		if !c.setMember(m, l) {
 			continue
 		}
-		e := brain.Entry{Host: m.ID, Number: m.Number, State: m.State}
+		e := routing.Entry{Host: m.ID, Number: m.Number, State: m.State}
 		if !m.Started.IsZero() {
 			e.Started = max(0, c.clock(m.Started))
 		}
@@ -59,13 +59,13 @@
 func (c *Core) withDisplaced(entries []Member, source string) []Member {
 	var gone []Member
 	for _, e := range entries {
-		if e.State == brain.Gone {
+		if e.State == routing.Gone {
 			continue
 		}
 		for _, m := range c.members {
 			if m.Addr == e.Addr && m.ID != e.ID && m.source == source && !listedElsewhere(entries, m.Member) {
 				displaced := m.Member
-				displaced.State = brain.Gone
+				displaced.State = routing.Gone
 				gone = append(gone, displaced)
 			}
 		}
@@ -77,7 +77,7 @@
 // gone themselves.
 func listedElsewhere(entries []Member, m Member) bool {
 	return slices.ContainsFunc(entries, func(e Member) bool {
-		return e.ID == m.ID && (e.Addr != m.Addr || e.State == brain.Gone)
+		return e.ID == m.ID && (e.Addr != m.Addr || e.State == routing.Gone)
 	})
 }
 
@@ -88,7 +88,7 @@
 		c.log.Error("a switch that another list has", "switch", m.ID, "list", l.Source, "other", old.source)
 		return false
 	}
-	if m.State == brain.Gone {
+	if m.State == routing.Gone {
 		if old != nil {
 			c.remove(old, l.Graceful)
 		}
@@ -99,7 +99,7 @@
 			c.cutAll(old, EndRestarted, m.Started) // what stood there before is cut
 		}
 		old.Member = m
-		old.link.SetDraining(m.State == brain.Draining)
+		old.link.SetDraining(m.State == routing.Draining)
 		return true
 	}
 	added := &member{Member: m, source: l.Source}
@@ -109,7 +109,7 @@
 		return false
 	}
 	added.link = link
-	link.SetDraining(m.State == brain.Draining)
+	link.SetDraining(m.State == routing.Draining)
 	if old != nil {
 		c.remove(old, l.Graceful)
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -1,6 +1,6 @@
 package core
 
-import "violetspan.example/violetspan/brain"
+import "violetspan.example/violetspan/routing"
 
 // FinalAnswer is what a caller was told of its set-up.
 type FinalAnswer int
@@ -56,7 +56,7 @@
 type Observer interface {
 	FinalAnswer(a FinalAnswer)
 	CallOver(r EndReason)
-	Attempt(r brain.Result)
+	Attempt(r routing.Result)
 	SetUpHeldBack()
 }
 
@@ -65,5 +65,5 @@
 
 func (unobserved) FinalAnswer(FinalAnswer) {}
 func (unobserved) CallOver(EndReason)      {}
-func (unobserved) Attempt(brain.Result)    {}
+func (unobserved) Attempt(routing.Result)  {}
 func (unobserved) SetUpHeldBack()          {}
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // Verdict is what became of a switch's answer.
@@ -55,20 +55,20 @@
 	known := k != nil || over
 	if k != nil && k.out == p.member {
 		why := EndReleased
-		if e.Result != brain.Ended {
+		if e.Result != routing.Ended {
 			why = EndCutBySwitch
 		}
 		k.push(reply{end: e, why: why})
 	}
 	c.mu.Unlock()
-	if !known && c.opt.UnknownRelease != nil && (e.Result == brain.Ended || e.Result == brain.Reset) {
-		c.opt.UnknownRelease(id, e.Result == brain.Reset)
+	if !known && c.opt.UnknownRelease != nil && (e.Result == routing.Ended || e.Result == routing.Reset) {
+		c.opt.UnknownRelease(id, e.Result == routing.Reset)
 	}
 }
 
 // Group tells the state of the group toward the switch.
-func (p *Peer) Group(r brain.Report) {
-	p.core.tell(brain.Probed{Host: p.id, Report: r})
+func (p *Peer) Group(r routing.Report) {
+	p.core.tell(routing.Probed{Host: p.id, Report: r})
 }
 
 // CallsOver tells that what has stood at the switch since before a time is over, though it
@@ -87,7 +87,7 @@
 func (c *Core) cutAll(m *member, why EndReason, before time.Time) (cut []*call) {
 	for _, k := range c.calls {
 		if k.out == m && k.answered && k.stoodSince.Before(before) {
-			k.push(reply{end: End{Result: brain.Reset}, why: why})
+			k.push(reply{end: End{Result: routing.Reset}, why: why})
 			cut = append(cut, k)
 		}
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -20,11 +20,11 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/strict"
 	"violetspan.example/violetspan/internal/tenant"
+	"violetspan.example/violetspan/routing"
 )
 
 // Inventory is what a file holds.
@@ -202,7 +202,7 @@
 	kindDemand: {"class", "from", "to", "tenant", "calls_per_second", "must_per_second"},
 }
 
-var states = map[string]brain.State{"": brain.Ready, "up": brain.Ready, "draining": brain.Draining}
+var states = map[string]routing.State{"": routing.Ready, "up": routing.Ready, "draining": routing.Draining}
 
 func (r *reader) add(e entry) {
 	known, ok := keys[e.kind]
@@ -277,15 +277,15 @@
 	if m.State, ok = states[status]; !ok {
 		return r.bad(sline, "status", fmt.Sprintf("%q is neither up nor draining", status))
 	}
-	if other, twice := r.numbers[n]; twice && m.State == brain.Ready {
+	if other, twice := r.numbers[n]; twice && m.State == routing.Ready {
 		return r.bad(line, "exchange", fmt.Sprintf("%d is switch %q already", n, other))
 	}
-	if m.State == brain.Ready {
+	if m.State == routing.Ready {
 		r.numbers[n] = e.id
 	}
 	yard, _ := e.at("yard")
 	sw := plan.Switch{ID: e.id, Yard: yard, SetUps: r.number(e, "set_ups_per_second", 0)}
-	if m.State == brain.Draining {
+	if m.State == routing.Draining {
 		sw.Phase = plan.Draining
 	}
 	r.inv.Plan.Switches = append(r.inv.Plan.Switches, sw)
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
 	"violetspan.example/violetspan/internal/mesh"
+	"violetspan.example/violetspan/routing"
 )
 
 // perSetUps is what a call that is not in transit makes a processor do, in set-ups:
@@ -141,7 +141,7 @@
 
 // Planned solves for a config and returns the event that each exchange's module is
 // told, valid until past the end.
-func Planned(c *mesh.Config, target float64, guards bool) ([]brain.Planned, *plan.Answer, error) {
+func Planned(c *mesh.Config, target float64, guards bool) ([]routing.Planned, *plan.Answer, error) {
 	p := Problem(c, target)
 	a, err := plan.Solve(p, plan.Options{})
 	if err != nil {
@@ -151,19 +151,19 @@
 	for x := range c.Exchanges {
 		number[name(x)] = x
 	}
-	events := make([]brain.Planned, c.Exchanges)
+	events := make([]routing.Planned, c.Exchanges)
 	for x := range events {
-		events[x] = brain.Planned{Version: 1, Until: 2 * time.Hour}
+		events[x] = routing.Planned{Version: 1, Until: 2 * time.Hour}
 	}
 	for _, w := range a.Weights(p) {
 		e := &events[number[w.From]]
-		e.Weights = append(e.Weights, brain.Weight{Dest: number[w.To], Tandem: number[w.Tandem], Weight: w.Weight})
+		e.Weights = append(e.Weights, routing.Weight{Dest: number[w.To], Tandem: number[w.Tandem], Weight: w.Weight})
 	}
 	if guards {
 		for _, g := range a.Guards(p) {
 			x, y := number[g.A], number[g.B]
-			events[x].Guards = append(events[x].Guards, brain.Guard{Toward: y, Value: g.Value})
-			events[y].Guards = append(events[y].Guards, brain.Guard{Toward: x, Value: g.Value})
+			events[x].Guards = append(events[x].Guards, routing.Guard{Toward: y, Value: g.Value})
+			events[y].Guards = append(events[y].Guards, routing.Guard{Toward: x, Value: g.Value})
 		}
 	}
 	return events, a, nil
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/mesh"
+	"violetspan.example/violetspan/routing"
 )
 
 // Policies by name. Weights and their variants are the module with a plan.
@@ -103,7 +103,7 @@
 func (e *Experiment) one(size int, seed uint64, policy string) (*mesh.Result, error) {
 	c := Draw(size, e.Load, time.Duration(e.LengthS*float64(time.Second)), seed)
 	Trouble(&c, e.Troubles)
-	c.Make = brain.Make
+	c.Make = routing.Make
 	switch policy {
 	case PolicyEven:
 		c.Make = mesh.Even
@@ -122,18 +122,18 @@
 				events[x].Weights = even(size, x)
 			}
 		}
-		c.Tell = func(x int, now time.Duration) []brain.Event { return []brain.Event{events[x]} }
+		c.Tell = func(x int, now time.Duration) []routing.Event { return []routing.Event{events[x]} }
 	}
 	return mesh.Run(c)
 }
 
 // even weighs all tandems alike.
-func even(size, here int) []brain.Weight {
-	var w []brain.Weight
+func even(size, here int) []routing.Weight {
+	var w []routing.Weight
 	for dest := range size {
 		for t := range size {
 			if dest != here && t != here && t != dest {
-				w = append(w, brain.Weight{Dest: dest, Tandem: t, Weight: 1})
+				w = append(w, routing.Weight{Dest: dest, Tandem: t, Weight: 1})
 			}
 		}
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,7 +1,7 @@
 // Package mesh emulates, on a virtual clock, a mesh of exchanges that call
 // controllers serve: trunk groups used from both ends, processors with one line,
 // callers that dial again, a list that is seconds late. It hosts the real
-// brain.Controller, one an exchange, or any other decider. One seed decides a run:
+// routing.Controller, one an exchange, or any other decider. One seed decides a run:
 // the same Config gives the same trace hash.
 //
 // It is a model, and simpler than the world: every link has the same delay law, a
@@ -20,7 +20,7 @@
 	"strconv"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // Class is a class of call.
@@ -79,10 +79,10 @@
 	ColdShare float64
 	ColdRamp  time.Duration
 	Troubles  []Trouble
-	Make      brain.Maker
+	Make      routing.Maker
 	// Tell is called for each exchange once its decider has been told of the list,
 	// also after a restart: for what reaches a decider by other ways.
-	Tell func(exchange int, now time.Duration) []brain.Event
+	Tell func(exchange int, now time.Duration) []routing.Event
 	// Again calls Tell for all exchanges each time it has passed; 0: never.
 	Again time.Duration
 	// Check counts the circuits of every group anew after every event.
@@ -144,7 +144,7 @@
 type exchange struct {
 	no      int
 	proc    processor
-	d       brain.Decider
+	d       routing.Decider
 	groups  []*group // by far exchange; nil: none
 	tries   map[string]*try
 	up      bool
@@ -155,7 +155,7 @@
 	legs    map[*attempt]bool
 	budget  float64 // of the cold rule
 	budgAt  time.Duration
-	state   brain.State // as the list will say
+	state   routing.State // as the list will say
 }
 
 // caller is a caller's wish, over all his tries.
@@ -213,7 +213,7 @@
 type Mesh struct {
 	*engine
 	cfg    Config
-	set    brain.Settings
+	set    routing.Settings
 	xs     []*exchange
 	groups []*group
 	wire   *rand.Rand // link delays
@@ -232,11 +232,11 @@
 	}
 	m := &Mesh{engine: newEngine(), cfg: cfg, wire: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	m.res.begin(&cfg)
-	m.set = brain.Settings{Fleet: cfg.Exchanges, MaxAttempts: mostTries, Release: release, Resend: resend,
+	m.set = routing.Settings{Fleet: cfg.Exchanges, MaxAttempts: mostTries, Release: release, Resend: resend,
 		ColdRamp: cfg.ColdRamp, ColdShare: cfg.ColdShare, FallMultiple: fallFactor, FallWindow: fallWindow,
 		AnswerSlack: answerSlack, CancelAllowed: true}
 	for _, k := range cfg.Classes {
-		m.set.Classes = append(m.set.Classes, brain.Class{Goal: k.Goal, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
+		m.set.Classes = append(m.set.Classes, routing.Class{Goal: k.Goal, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
 	}
 	for i := range cfg.Exchanges {
 		x := &exchange{no: i, groups: make([]*group, cfg.Exchanges), told: make([]bool, cfg.Exchanges), legs: map[*attempt]bool{}}
@@ -327,9 +327,9 @@
 		m.fail("exchange %d: %w", x.no, err)
 		return
 	}
-	list := brain.Listed{Full: true}
+	list := routing.Listed{Full: true}
 	for _, o := range m.xs {
-		list.Entries = append(list.Entries, brain.Entry{Host: host(o.no), Number: o.no, Started: o.started, State: o.state})
+		list.Entries = append(list.Entries, routing.Entry{Host: host(o.no), Number: o.no, Started: o.started, State: o.state})
 	}
 	m.tell(x, list)
 	for far := range m.xs {
@@ -356,7 +356,7 @@
 }
 
 // tell brings an event to an exchange's decider as the next thing that happens.
-func (m *Mesh) tell(x *exchange, ev brain.Event) {
+func (m *Mesh) tell(x *exchange, ev routing.Event) {
 	epoch := x.epoch
 	m.after(0, 'E', uint32(x.no), func() {
 		if x.epoch == epoch && x.up {
@@ -367,28 +367,28 @@
 
 // handle lets the decider act. Nothing that it orders comes back to it before it
 // is done: all goes by the queue of events.
-func (m *Mesh) handle(x *exchange, ev brain.Event) {
-	if o, ok := ev.(brain.Offered); ok && x.tries[o.Call] == nil {
+func (m *Mesh) handle(x *exchange, ev routing.Event) {
+	if o, ok := ev.(routing.Offered); ok && x.tries[o.Call] == nil {
 		return // the caller has left meanwhile
 	}
 	for _, a := range x.d.Handle(m.now, ev) {
 		switch a := a.(type) {
-		case brain.Send:
+		case routing.Send:
 			m.send(x, a)
-		case brain.Refuse:
+		case routing.Refuse:
 			m.answer(x, a.Call)
-		case brain.Fail:
+		case routing.Fail:
 			m.answer(x, a.Call)
-		case brain.Cancel:
+		case routing.Cancel:
 			if t := x.tries[a.Call]; t != nil && t.out != nil && t.out.no == a.Attempt && t.out.phase == out {
-				m.giveUp(t.out, brain.Cancelled)
+				m.giveUp(t.out, routing.Cancelled)
 			}
-		case brain.Wake:
+		case routing.Wake:
 			at := m.now + a.After
 			epoch := x.epoch
 			m.at(at, 'W', uint32(x.no), func() {
 				if x.epoch == epoch && x.up {
-					m.handle(x, brain.Woken{})
+					m.handle(x, routing.Woken{})
 				}
 			})
 		}
@@ -404,13 +404,13 @@
 	m.after(0, 'N', uint32(x.no), func() {
 		x.told[far] = false
 		if x.up {
-			m.handle(x, brain.Probed{Host: host(far), Report: m.report(x, far)})
+			m.handle(x, routing.Probed{Host: host(far), Report: m.report(x, far)})
 		}
 	})
 }
 
-func (m *Mesh) report(x *exchange, far int) brain.Report {
-	r := brain.NoReport
+func (m *Mesh) report(x *exchange, far int) routing.Report {
+	r := routing.NoReport
 	r.Free, r.Size = 0, 0
 	if g := x.groups[far]; g != nil {
 		r.Free, r.Size = g.free, g.size
@@ -596,7 +596,7 @@
 	t.x.tries[t.key] = t
 	t.x.proc.add(m.work(t.x, m.cfg.Work.Look), false, nil)
 	c := t.c
-	m.tell(t.x, brain.Offered{Call: t.key, Class: c.class, Number: c.number, Dest: c.to,
+	m.tell(t.x, routing.Offered{Call: t.key, Class: c.class, Number: c.number, Dest: c.to,
 		Width: m.cfg.Classes[c.class].Width, Expires: t.expires, Transit: transit})
 }
 
@@ -613,9 +613,9 @@
 		return
 	}
 	t.owed = false
-	m.tell(t.x, brain.Withdrawn{Call: t.key})
+	m.tell(t.x, routing.Withdrawn{Call: t.key})
 	if t.out != nil && t.out.phase == out {
-		m.giveUp(t.out, brain.Cancelled)
+		m.giveUp(t.out, routing.Cancelled)
 	}
 	m.forget(t)
 }
@@ -642,12 +642,12 @@
 	t.owed = false
 	m.forget(t)
 	if a := t.parent; a != nil {
-		cause := brain.CauseTurnedBack
+		cause := routing.CauseTurnedBack
 		if t.beyond {
-			cause = brain.CauseBeyond
+			cause = routing.CauseBeyond
 		}
 		m.res.TurnedBack++
-		m.after(m.delay(), 'B', uint32(x.no), func() { m.settle(a, brain.Full, cause) })
+		m.after(m.delay(), 'B', uint32(x.no), func() { m.settle(a, routing.Full, cause) })
 		return
 	}
 	m.res.Refused++
@@ -657,7 +657,7 @@
 // ---- set-ups
 
 // send starts an attempt. What the rules forbid ends the run with an error.
-func (m *Mesh) send(x *exchange, s brain.Send) {
+func (m *Mesh) send(x *exchange, s routing.Send) {
 	t := x.tries[s.Call]
 	to := slices.IndexFunc(m.xs, func(o *exchange) bool { return host(o.no) == s.Host })
 	if t == nil || !t.owed {
@@ -682,7 +682,7 @@
 	m.res.Sends++
 	k := m.width(a)
 	if t.sent > mostTries || a.g == nil || a.g.free < k {
-		m.after(0, 'U', uint32(x.no), func() { m.settle(a, brain.Unused, brain.CauseCircuits) })
+		m.after(0, 'U', uint32(x.no), func() { m.settle(a, routing.Unused, routing.CauseCircuits) })
 		return
 	}
 	if to != t.c.to {
@@ -693,7 +693,7 @@
 	if s.Timeout > 0 {
 		limit = min(limit, s.Timeout)
 	}
-	m.after(limit, 'T', uint32(x.no), func() { m.giveUp(a, brain.TimedOut) })
+	m.after(limit, 'T', uint32(x.no), func() { m.giveUp(a, routing.TimedOut) })
 	m.repeat(a, resend)
 	x.proc.add(m.work(x, 1), false, func() {
 		if a.phase == out {
@@ -723,14 +723,14 @@
 	}
 	x := m.xs[a.to]
 	if !x.up {
-		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, brain.NotReached, brain.CauseNone) })
+		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.NotReached, routing.CauseNone) })
 		return
 	}
 	m.cold(x)
 	if x.proc.wait() > m.cfg.MaxWait[x.no] {
 		m.res.ProcessorFull++
 		x.proc.add(m.work(x, m.cfg.Work.Reject), false, nil)
-		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, brain.Full, brain.CauseProcessor) })
+		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.Full, routing.CauseProcessor) })
 		return
 	}
 	x.proc.add(m.work(x, 1), false, func() {
@@ -766,7 +766,7 @@
 	t := a.t
 	a.phase = stands
 	t.owed = false
-	m.tell(t.x, brain.Stood{Call: t.key, Attempt: a.no, Delay: m.now - a.sentAt})
+	m.tell(t.x, routing.Stood{Call: t.key, Attempt: a.no, Delay: m.now - a.sentAt})
 	if p := t.parent; p != nil {
 		p.answered = true
 		m.back(p)
@@ -790,7 +790,7 @@
 	}
 	a.t.x.proc.add(m.work(a.t.x, m.cfg.Work.Release), true, func() {
 		m.give(a)
-		m.tell(a.t.x, brain.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: brain.Ended, Over: true,
+		m.tell(a.t.x, routing.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Ended, Over: true,
 			Delay: m.now - a.sentAt, Report: m.report(a.t.x, a.to)})
 		delete(a.t.x.tries, a.t.key)
 	})
@@ -800,7 +800,7 @@
 }
 
 // settle ends an attempt that the far end, or the own exchange, sent back.
-func (m *Mesh) settle(a *attempt, r brain.Result, cause brain.Cause) {
+func (m *Mesh) settle(a *attempt, r routing.Result, cause routing.Cause) {
 	if a.phase != out {
 		return
 	}
@@ -809,23 +809,23 @@
 	m.settled(a, r, cause)
 }
 
-func (m *Mesh) settled(a *attempt, r brain.Result, cause brain.Cause) {
+func (m *Mesh) settled(a *attempt, r routing.Result, cause routing.Cause) {
 	t := a.t
-	t.beyond = cause == brain.CauseProcessor
-	m.tell(t.x, brain.Settled{Call: t.key, Attempt: a.no, Host: host(a.to), Result: r, Cause: cause, Over: !t.owed,
+	t.beyond = cause == routing.CauseProcessor
+	m.tell(t.x, routing.Settled{Call: t.key, Attempt: a.no, Host: host(a.to), Result: r, Cause: cause, Over: !t.owed,
 		Delay: m.now - a.sentAt, Report: m.report(t.x, a.to)})
 	m.forget(t)
 }
 
 // giveUp ends an attempt from the sending end. The far end hears of it a link's
 // delay later; the circuits stay taken until the release.
-func (m *Mesh) giveUp(a *attempt, r brain.Result) {
+func (m *Mesh) giveUp(a *attempt, r routing.Result) {
 	if a.phase != out {
 		return
 	}
 	a.phase = givenUp
 	a.t.rest = m.now + release
-	if r == brain.TimedOut {
+	if r == routing.TimedOut {
 		m.res.TimedOut++
 	}
 	m.after(release, 'L', uint32(a.to), func() { m.give(a) })
@@ -837,7 +837,7 @@
 			}
 		})
 	}
-	m.settled(a, r, brain.CauseNone)
+	m.settled(a, r, routing.CauseNone)
 }
 
 // ---- troubles
@@ -855,7 +855,7 @@
 			x := m.xs[no]
 			m.at(t.From, 'd', uint32(no), func() { m.down(x) })
 			m.at(t.To, 'u', uint32(no), func() {
-				x.state = brain.Ready
+				x.state = routing.Ready
 				m.start(x, m.now)
 				m.list(x)
 			})
@@ -865,7 +865,7 @@
 
 // down crashes an exchange: all that touches it is cut.
 func (m *Mesh) down(x *exchange) {
-	x.up, x.state = false, brain.Gone
+	x.up, x.state = false, routing.Gone
 	x.proc.clear()
 	for _, o := range m.xs {
 		var legs []*attempt // a map's order must not decide
@@ -884,7 +884,7 @@
 			switch a.phase {
 			case out:
 				if a.to == x.no {
-					m.settle(a, brain.Reset, brain.CauseNone)
+					m.settle(a, routing.Reset, routing.CauseNone)
 					a.t.rest = m.now + release
 				} else if a.t.x == x {
 					a.phase = givenUp
@@ -899,7 +899,7 @@
 				if a.t.parent == nil {
 					m.res.cut(a.t.c, m.cfg.Classes[a.t.c.class])
 				}
-				m.tell(a.t.x, brain.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: brain.Reset, Over: true, Report: brain.NoReport})
+				m.tell(a.t.x, routing.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Reset, Over: true, Report: routing.NoReport})
 				delete(a.t.x.tries, a.t.key)
 			default:
 				m.give(a)
@@ -918,7 +918,7 @@
 		}
 		t.owed = false
 		if p := t.parent; p != nil {
-			m.settle(p, brain.Reset, brain.CauseNone)
+			m.settle(p, routing.Reset, routing.CauseNone)
 			p.t.rest = m.now + release
 		} else {
 			m.redial(t.c) // its caller sees the line go dead
@@ -930,12 +930,12 @@
 
 // list tells every other decider of an exchange's state, late.
 func (m *Mesh) list(x *exchange) {
-	e := brain.Entry{Host: host(x.no), Number: x.no, Started: x.started, State: x.state}
+	e := routing.Entry{Host: host(x.no), Number: x.no, Started: x.started, State: x.state}
 	for _, o := range m.xs {
 		if o != x {
 			m.after(between(m.wire, m.cfg.Notice), 'I', uint32(o.no), func() {
 				if o.up {
-					m.handle(o, brain.Listed{Entries: []brain.Entry{e}})
+					m.handle(o, routing.Listed{Entries: []routing.Entry{e}})
 				}
 			})
 		}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
+	"violetspan.example/violetspan/routing"
 )
 
 // lossy is one group with nothing but its circuits in the way.
@@ -136,33 +136,33 @@
 
 // A decider that breaks a rule ends the run with an error that names it.
 func TestRulesAreHeld(t *testing.T) {
-	for want, odd := range map[string]func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action{
-		"two attempts out": func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action { return append(acts, acts...) },
-		"sends to": func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action {
+	for want, odd := range map[string]func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action{
+		"two attempts out": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action { return append(acts, acts...) },
+		"sends to": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
 			for i, a := range acts {
-				if s, ok := a.(brain.Send); ok {
+				if s, ok := a.(routing.Send); ok {
 					s.Host = "nowhere"
 					acts[i] = s
 				}
 			}
 			return acts
 		},
-		"final answer": func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action {
-			if o, ok := ev.(brain.Offered); ok {
-				acts = append(acts, brain.Refuse{Call: o.Call})
+		"final answer": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
+			if o, ok := ev.(routing.Offered); ok {
+				acts = append(acts, routing.Refuse{Call: o.Call})
 			}
 			return acts
 		},
-		"call in transit": func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action {
-			if o, ok := ev.(brain.Offered); ok && o.Transit {
+		"call in transit": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
+			if o, ok := ev.(routing.Offered); ok && o.Transit {
 				third := slices.IndexFunc(hosts[:], func(h string) bool { return h != host(o.Dest) && h != host(p.set.Here) })
-				return []brain.Action{brain.Send{Call: o.Call, Host: host(third)}}
+				return []routing.Action{routing.Send{Call: o.Call, Host: host(third)}}
 			}
 			return acts
 		},
 	} {
 		c := five()
-		c.Make = func(s brain.Settings, seed uint64) (brain.Decider, error) {
+		c.Make = func(s routing.Settings, seed uint64) (routing.Decider, error) {
 			p := newPlain(s, seed, true)
 			return odder{p, odd}, nil
 		}
@@ -179,9 +179,9 @@
 
 type odder struct {
 	p   *Plain
-	odd func(p *Plain, ev brain.Event, acts []brain.Action) []brain.Action
+	odd func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action
 }
 
-func (o odder) Handle(now time.Duration, ev brain.Event) []brain.Action {
+func (o odder) Handle(now time.Duration, ev routing.Event) []routing.Action {
 	return o.odd(o.p, ev, o.p.Handle(now, ev))
 }
--- a/internal/mesh/policy.go
+++ b/internal/mesh/policy.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // Plain is a decider to compare with. It goes direct while there is room, else by
@@ -13,17 +13,17 @@
 // another if that one turns the call back. It keeps the rules and nothing more: no
 // throttle, no reserve, no memory.
 type Plain struct {
-	set    brain.Settings
+	set    routing.Settings
 	rng    *rand.Rand
 	round  bool
-	hosts  []brain.Entry
+	hosts  []routing.Entry
 	free   map[string]int // circuits; -1: not known
 	calls  map[string]*plainCall
 	subbed bool
 }
 
 type plainCall struct {
-	brain.Offered
+	routing.Offered
 	tried []int
 	sends int
 	out   bool
@@ -31,40 +31,42 @@
 }
 
 // Even makes a Plain that uses tandems.
-func Even(s brain.Settings, seed uint64) (brain.Decider, error) { return newPlain(s, seed, true), nil }
+func Even(s routing.Settings, seed uint64) (routing.Decider, error) {
+	return newPlain(s, seed, true), nil
+}
 
 // Direct makes a Plain that never does.
-func Direct(s brain.Settings, seed uint64) (brain.Decider, error) {
+func Direct(s routing.Settings, seed uint64) (routing.Decider, error) {
 	return newPlain(s, seed, false), nil
 }
 
-func newPlain(s brain.Settings, seed uint64, round bool) *Plain {
+func newPlain(s routing.Settings, seed uint64, round bool) *Plain {
 	return &Plain{set: s, rng: rand.New(rand.NewPCG(seed, 77)), round: round, free: map[string]int{}, calls: map[string]*plainCall{}}
 }
 
 // Handle takes one event and returns what is to be done.
-func (p *Plain) Handle(now time.Duration, ev brain.Event) []brain.Action {
+func (p *Plain) Handle(now time.Duration, ev routing.Event) []routing.Action {
 	switch e := ev.(type) {
-	case brain.Listed:
+	case routing.Listed:
 		return p.listed(e)
-	case brain.Probed:
+	case routing.Probed:
 		p.report(e.Host, e.Report)
-	case brain.Offered:
+	case routing.Offered:
 		k := &plainCall{Offered: e, owed: true}
 		p.calls[e.Call] = k
 		return p.place(now, k)
-	case brain.Stood:
+	case routing.Stood:
 		if k := p.calls[e.Call]; k != nil {
 			k.owed = false
 		}
-	case brain.Withdrawn:
+	case routing.Withdrawn:
 		if k := p.calls[e.Call]; k != nil {
 			k.owed = false
 			if !k.out {
 				delete(p.calls, e.Call)
 			}
 		}
-	case brain.Settled:
+	case routing.Settled:
 		p.report(e.Host, e.Report)
 		k := p.calls[e.Call]
 		if k == nil || e.Attempt != k.sends-1 {
@@ -76,22 +78,22 @@
 			return nil
 		}
 		// After a time-out or reset the call would have to rest: it is given back.
-		if e.Result == brain.Full || e.Result == brain.Unused {
+		if e.Result == routing.Full || e.Result == routing.Unused {
 			return p.place(now, k)
 		}
 		delete(p.calls, e.Call)
-		return []brain.Action{brain.Fail{Call: e.Call}}
+		return []routing.Action{routing.Fail{Call: e.Call}}
 	}
 	return nil
 }
 
-func (p *Plain) report(host string, r brain.Report) {
+func (p *Plain) report(host string, r routing.Report) {
 	if r.Size >= 0 {
 		p.free[host] = r.Free
 	}
 }
 
-func (p *Plain) listed(e brain.Listed) []brain.Action {
+func (p *Plain) listed(e routing.Listed) []routing.Action {
 	if e.Failed {
 		return nil
 	}
@@ -99,22 +101,22 @@
 		p.hosts = nil
 	}
 	for _, n := range e.Entries {
-		p.hosts = slices.DeleteFunc(p.hosts, func(o brain.Entry) bool { return o.Host == n.Host })
-		if n.State == brain.Ready {
+		p.hosts = slices.DeleteFunc(p.hosts, func(o routing.Entry) bool { return o.Host == n.Host })
+		if n.State == routing.Ready {
 			p.hosts = append(p.hosts, n)
 		}
 	}
-	slices.SortFunc(p.hosts, func(a, b brain.Entry) int { return a.Number - b.Number })
+	slices.SortFunc(p.hosts, func(a, b routing.Entry) int { return a.Number - b.Number })
 	if p.set.AskForList && !p.subbed {
 		p.subbed = true
-		return []brain.Action{brain.Subscribe{}}
+		return []routing.Action{routing.Subscribe{}}
 	}
 	return nil
 }
 
 // place sends a call on by a way not tried yet, or refuses it.
-func (p *Plain) place(now time.Duration, k *plainCall) []brain.Action {
-	var ways []brain.Entry
+func (p *Plain) place(now time.Duration, k *plainCall) []routing.Action {
+	var ways []routing.Entry
 	for _, h := range p.hosts {
 		free, known := p.free[h.Host]
 		if h.Number == p.set.Here || slices.Contains(k.tried, h.Number) || known && free < k.Width ||
@@ -122,7 +124,7 @@
 			continue
 		}
 		if h.Number == k.Dest {
-			ways = []brain.Entry{h}
+			ways = []routing.Entry{h}
 			break
 		}
 		if p.round && !k.Transit {
@@ -131,11 +133,11 @@
 	}
 	if len(ways) == 0 || k.sends >= p.set.MaxAttempts || now >= k.Expires {
 		delete(p.calls, k.Call)
-		return []brain.Action{brain.Refuse{Call: k.Call}}
+		return []routing.Action{routing.Refuse{Call: k.Call}}
 	}
 	h := ways[p.rng.IntN(len(ways))]
 	k.sends++
 	k.out = true
 	k.tried = append(k.tried, h.Number)
-	return []brain.Action{brain.Send{Call: k.Call, Host: h.Host, Timeout: k.Expires - now}}
+	return []routing.Action{routing.Send{Call: k.Call, Host: h.Host, Timeout: k.Expires - now}}
 }
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
 	"violetspan.example/violetspan/decide/replan"
+	"violetspan.example/violetspan/routing"
 )
 
 var ids = map[int]string{0: "a", 1: "b", 2: "c"}
@@ -21,21 +21,21 @@
 // heard keeps what a module would have been told.
 type heard struct {
 	mu     sync.Mutex
-	events []brain.Planned
+	events []routing.Planned
 	log    bytes.Buffer
 }
 
-func (h *heard) tell(e brain.Planned, until time.Time) {
+func (h *heard) tell(e routing.Planned, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, e)
 }
 
-func (h *heard) last() (brain.Planned, int) {
+func (h *heard) last() (routing.Planned, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.events) == 0 {
-		return brain.Planned{}, 0
+		return routing.Planned{}, 0
 	}
 	return h.events[len(h.events)-1], len(h.events)
 }
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -15,9 +15,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // A channel may stop and stay open. What it has to tell then counts as told some
@@ -99,7 +99,7 @@
 	UpSince float64 `json:"up_since_ms"`
 }
 
-var phases = map[string]brain.State{"up": brain.Ready, "draining": brain.Draining, "removed": brain.Gone}
+var phases = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Gone}
 
 // ReadEvents reads events in the channel's form. One that can't be read spoils all.
 func ReadEvents(b []byte) (*Events, error) {
--- a/internal/platform/link.go
+++ b/internal/platform/link.go
@@ -12,10 +12,10 @@
 	"strconv"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/sig"
 	"violetspan.example/violetspan/internal/trunk"
+	"violetspan.example/violetspan/routing"
 )
 
 const readBuffer = 1 << 10 // longer messages are read past it
@@ -149,34 +149,34 @@
 	e := core.End{Cause: notes[string(m.Get(sig.ParamNote))]}
 	switch cause := m.Cause(); cause {
 	case sig.CauseNoCircuit, sig.CauseCongestion:
-		e.Result = brain.Full
+		e.Result = routing.Full
 	case sig.CauseBusy, sig.CauseResource:
-		e.Result = brain.Error
+		e.Result = routing.Error
 	case sig.CauseTimer:
-		e.Result = brain.Unused
+		e.Result = routing.Unused
 	case sig.CauseTemporary:
-		e.Result = brain.Reset
+		e.Result = routing.Reset
 	case sig.CauseNormal:
-		e.Result = brain.Ended
+		e.Result = routing.Ended
 	default:
-		e.Result = brain.Error
+		e.Result = routing.Error
 		return e, fmt.Errorf("cause %d", cause)
 	}
 	return e, nil
 }
 
-var notes = map[string]brain.Cause{
-	"no_path":        brain.CauseCircuits,
-	"sent_back":      brain.CauseTurnedBack,
-	"queue_long":     brain.CauseProcessor,
-	"line_taken":     brain.CauseNumber,
-	"end_queue_long": brain.CauseBeyond,
+var notes = map[string]routing.Cause{
+	"no_path":        routing.CauseCircuits,
+	"sent_back":      routing.CauseTurnedBack,
+	"queue_long":     routing.CauseProcessor,
+	"line_taken":     routing.CauseNumber,
+	"end_queue_long": routing.CauseBeyond,
 }
 
 // groupState reads a group's free circuits and size, and what else a switch
 // tells of itself, by the names that the settings use for report columns.
-func groupState(m *sig.Message) (brain.Report, error) {
-	r := brain.NoReport
+func groupState(m *sig.Message) (routing.Report, error) {
+	r := routing.NoReport
 	for name, v := range sig.Figures(m.Get(sig.ParamReport)) {
 		if err := r.Set(name, v); err != nil {
 			return r, fmt.Errorf("figure %s: %w", name, err)
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // metricsInterval is how often a proxy logs its metrics: on the platform nobody
@@ -21,11 +21,11 @@
 	o.count.FinalAnswers.WithLabelValues(a.String()).Inc()
 }
 func (o observer) CallOver(r core.EndReason) { o.count.CallEnds.WithLabelValues(r.String()).Inc() }
-func (o observer) Attempt(r brain.Result)    { o.count.Attempts.WithLabelValues(attemptResult(r)).Inc() }
+func (o observer) Attempt(r routing.Result)  { o.count.Attempts.WithLabelValues(attemptResult(r)).Inc() }
 func (o observer) SetUpHeldBack()            { o.count.SetUpsHeldBack.Inc() }
 
 // attemptResult is the metrics label of an attempt's result.
-func attemptResult(r brain.Result) string {
+func attemptResult(r routing.Result) string {
 	return [...]string{"ended", "error", "full", "timed_out", "not_reached", "reset", "cancelled", "unused"}[r]
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,7 +18,6 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/admin"
 	"violetspan.example/violetspan/internal/callapi"
 	"violetspan.example/violetspan/internal/config"
@@ -29,6 +28,7 @@
 	"violetspan.example/violetspan/internal/platform"
 	"violetspan.example/violetspan/internal/tenant"
 	"violetspan.example/violetspan/internal/trunk"
+	"violetspan.example/violetspan/routing"
 )
 
 // Phase is where a Proxy is between its start and its exit.
@@ -277,7 +277,7 @@
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
 		ps.Here = set.Brain.Here
-		p.planner = planner.New(ps, p.log, func(e brain.Planned, until time.Time) { p.core.Plan(e, until) })
+		p.planner = planner.New(ps, p.log, func(e routing.Planned, until time.Time) { p.core.Plan(e, until) })
 		opt.Seen = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
 	}
@@ -472,7 +472,7 @@
 	if p.planner != nil {
 		ids := map[int]string{}
 		for _, m := range inv.Switches {
-			if _, twice := ids[m.Number]; !twice || m.State == brain.Ready {
+			if _, twice := ids[m.Number]; !twice || m.State == routing.Ready {
 				ids[m.Number] = m.ID
 			}
 		}
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -10,16 +10,16 @@
 	"testing"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/config"
 	"violetspan.example/violetspan/internal/lab"
 	"violetspan.example/violetspan/internal/mesh"
 	"violetspan.example/violetspan/internal/standin"
+	"violetspan.example/violetspan/routing"
 )
 
 // playDay plays a day of the lab against real proxies, one an exchange, and stand-ins,
 // all on loopback, and returns the share of the worth that stood in time.
-func playDay(t *testing.T, cfg mesh.Config, events []brain.Planned) float64 {
+func playDay(t *testing.T, cfg mesh.Config, events []routing.Planned) float64 {
 	t.Helper()
 	n := cfg.Exchanges
 	world := standin.NewMesh(cfg)
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/liveness"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 const (
@@ -39,7 +39,7 @@
 type Up interface {
 	Answered(id uint64, description []byte) core.Verdict
 	Ended(id uint64, e core.End)
-	Group(r brain.Report)
+	Group(r routing.Report)
 	// CallsOver says that what has stood at the switch since before a time is over,
 	// though the switch did not say so.
 	CallsOver(why core.EndReason, before time.Time)
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // pipe is a connection whose other side the test plays: what it says, and how it ends.
@@ -65,7 +65,7 @@
 
 func (l listener) Answered(uint64, []byte) core.Verdict { return core.Taken }
 func (l listener) Ended(id uint64, e core.End)          {}
-func (l listener) Group(brain.Report)                   {}
+func (l listener) Group(routing.Report)                 {}
 func (l listener) EvidenceMissing()                     {}
 func (l listener) CallsOver(why core.EndReason, _ time.Time) {
 	l.over <- why.String()
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // replacedFor is how long a connection that another has replaced is read on for what the
@@ -100,7 +100,7 @@
 // reset says that set-ups were reset with their connection.
 func (s *session) reset(open []uint64) {
 	for _, id := range open {
-		s.link.up.Ended(id, core.End{Result: brain.Reset})
+		s.link.up.Ended(id, core.End{Result: routing.Reset})
 	}
 }
 
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // Conn is one connection to a switch. Read is called by one goroutine; the
@@ -73,10 +73,10 @@
 type Event struct {
 	Kind        Kind
 	Call        uint64
-	Description []byte       // of an answer
-	End         core.End     // of an end
-	Report      brain.Report // of a group's state
-	Note        error        // why something in it was skipped
+	Description []byte         // of an answer
+	End         core.End       // of an end
+	Report      routing.Report // of a group's state
+	Note        error          // why something in it was skipped
 }
 
 // Times bound what a link waits for.
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // recorder is a connection that notes what is written on it.
@@ -46,7 +46,7 @@
 
 func (deaf) Answered(uint64, []byte) core.Verdict { return core.Unknown }
 func (deaf) Ended(uint64, core.End)               {}
-func (deaf) Group(brain.Report)                   {}
+func (deaf) Group(routing.Report)                 {}
 func (deaf) CallsOver(core.EndReason, time.Time)  {}
 func (deaf) EvidenceMissing()                     {}
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // params are the start-up settings by path; the first bad one is kept.
@@ -53,16 +53,16 @@
 }
 
 // settings reads the pairs of a LAUNCH line; keys it does not know are skipped.
-func settings(f *fields, in *instance) (brain.Settings, error) {
+func settings(f *fields, in *instance) (routing.Settings, error) {
 	p := &params{f: f, vals: map[string]string{}}
 	for _, pair := range strings.Fields(f.rest) {
 		key, val, ok := strings.Cut(pair, "=")
 		if !ok {
-			return brain.Settings{}, f.bad("params", fmt.Sprintf("%q is not a pair", pair))
+			return routing.Settings{}, f.bad("params", fmt.Sprintf("%q is not a pair", pair))
 		}
 		p.vals[key] = val
 	}
-	s := brain.Settings{
+	s := routing.Settings{
 		Here:          p.whole("extra.here", -1),
 		Fleet:         p.whole("fleetSize", 1),
 		Pools:         p.vals["extra.topology"] == "groups",
@@ -81,7 +81,7 @@
 	widths, holds := p.list("extra.widths"), p.list("extra.classHoldMs")
 	for i := range max(0, min(p.whole("classes.count", 0), 1000)) {
 		at := fmt.Sprintf("classes.%d.", i)
-		k := brain.Class{Goal: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
+		k := routing.Class{Goal: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
 			Worth: p.num(at+"worth", 1), Width: 1}
 		if i < len(widths) {
 			p.vals[at+"width"] = widths[i]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,13 +14,13 @@
 	"strings"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // instance is one hosted controller and what only the wire knows of it.
 type instance struct {
 	name    string
-	d       brain.Decider
+	d       routing.Decider
 	columns []string
 	advise  bool // callers hear when to dial again
 	classes map[string]int
@@ -31,11 +31,11 @@
 	in    *bufio.Reader
 	out   *bufio.Writer
 	errs  io.Writer
-	make  brain.Maker
+	make  routing.Maker
 	line  int // number of the line being read
 	now   time.Duration
 	insts map[string]*instance
-	lists [16][]brain.Entry
+	lists [16][]routing.Entry
 	reply []byte
 	field fields
 	long  []byte
@@ -58,7 +58,7 @@
 
 // Serve hosts instances on the wire until the input ends. An error names the
 // line and field that could not be read; nothing is written for its batch.
-func Serve(in io.Reader, out, errs io.Writer, mk brain.Maker) error {
+func Serve(in io.Reader, out, errs io.Writer, mk routing.Maker) error {
 	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), errs: errs, make: mk,
 		insts: map[string]*instance{}}
 	for {
@@ -196,12 +196,12 @@
 	return time.Duration(math.Round(max(-longest, min(longest, x))*1000)) * time.Microsecond
 }
 
-var results = map[string]brain.Result{
-	"delivered": brain.Ended, "app_error": brain.Error, "shed": brain.Full, "expired": brain.TimedOut,
-	"dial_failed": brain.NotReached, "dropped": brain.Reset, "revoked": brain.Cancelled, "unused": brain.Unused,
+var results = map[string]routing.Result{
+	"delivered": routing.Ended, "app_error": routing.Error, "shed": routing.Full, "expired": routing.TimedOut,
+	"dial_failed": routing.NotReached, "dropped": routing.Reset, "revoked": routing.Cancelled, "unused": routing.Unused,
 }
 
-var states = map[string]brain.State{"U": brain.Ready, "L": brain.Draining, "D": brain.Gone}
+var states = map[string]routing.State{"U": routing.Ready, "L": routing.Draining, "D": routing.Gone}
 
 // pick takes a word that must be one of a table's keys.
 func pick[T any](f *fields, field string, table map[string]T) (v T, err error) {
@@ -249,7 +249,7 @@
 }
 
 // run lets an instance act on an event; a panic is reported as a broken module.
-func (h *host) run(in *instance, ev brain.Event) {
+func (h *host) run(in *instance, ev routing.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			fmt.Fprintf(h.errs, "%s: %v\n%s", in.name, r, debug.Stack())
@@ -298,7 +298,7 @@
 	if n < 0 {
 		return f.bad("hosts", "a count is wanted")
 	}
-	var entries []brain.Entry // not reused: instances may hold on to the old ones
+	var entries []routing.Entry // not reused: instances may hold on to the old ones
 	for range n {
 		line, err := h.next()
 		if err != nil {
@@ -318,7 +318,7 @@
 	return nil
 }
 
-func entry(f *fields) (e brain.Entry, err error) {
+func entry(f *fields) (e routing.Entry, err error) {
 	if e.Host, err = f.word("switch"); err != nil {
 		return e, err
 	}
@@ -341,7 +341,7 @@
 }
 
 // readers reads each kind of event that goes to an instance.
-var readers = map[string]func(*host, *instance, *fields) (brain.Event, error){
+var readers = map[string]func(*host, *instance, *fields) (routing.Event, error){
 	"DISCOVERY": readListed,
 	"JOB_IN":    readOffered,
 	"STARTED":   readStood,
@@ -349,10 +349,10 @@
 	"WITHDRAWN": readWithdrawn,
 	"SAMPLED":   readProbed,
 	"BELL":      readWoken,
-	"PEER_DATA": func(*host, *instance, *fields) (brain.Event, error) { return nil, nil },
+	"PEER_DATA": func(*host, *instance, *fields) (routing.Event, error) { return nil, nil },
 }
 
-func readListed(h *host, _ *instance, f *fields) (brain.Event, error) {
+func readListed(h *host, _ *instance, f *fields) (routing.Event, error) {
 	slot, err := f.whole("slot", -1)
 	if err != nil {
 		return nil, err
@@ -362,7 +362,7 @@
 		return nil, err
 	}
 	if mode == "Error" {
-		return brain.Listed{Failed: true}, nil
+		return routing.Listed{Failed: true}, nil
 	}
 	if mode != "Partial" && mode != "Complete" && mode != "Persisted" {
 		return nil, f.bad("mode", fmt.Sprintf("%q is not known here", mode))
@@ -370,7 +370,7 @@
 	if slot < 0 || slot >= len(h.lists) {
 		return nil, f.bad("slot", "a number from 0 to 15 is wanted")
 	}
-	return brain.Listed{Full: mode != "Partial", Entries: h.lists[slot]}, nil
+	return routing.Listed{Full: mode != "Partial", Entries: h.lists[slot]}, nil
 }
 
 const (
@@ -379,8 +379,8 @@
 	markCut     = 16
 )
 
-func readOffered(_ *host, in *instance, f *fields) (brain.Event, error) {
-	var e brain.Offered
+func readOffered(_ *host, in *instance, f *fields) (routing.Event, error) {
+	var e routing.Offered
 	var err error
 	if e.Call, err = f.word("job"); err != nil {
 		return nil, err
@@ -417,8 +417,8 @@
 	return e, nil
 }
 
-func readStood(_ *host, _ *instance, f *fields) (brain.Event, error) {
-	var e brain.Stood
+func readStood(_ *host, _ *instance, f *fields) (routing.Event, error) {
+	var e routing.Stood
 	var err error
 	if e.Call, err = f.word("job"); err != nil {
 		return nil, err
@@ -434,8 +434,8 @@
 	return e, err
 }
 
-func readSettled(_ *host, in *instance, f *fields) (brain.Event, error) {
-	var e brain.Settled
+func readSettled(_ *host, in *instance, f *fields) (routing.Event, error) {
+	var e routing.Settled
 	var err error
 	if e.Call, err = f.word("job"); err != nil {
 		return nil, err
@@ -470,31 +470,31 @@
 
 // cause splits a clear code: its low four bits are the cause, and the rest a
 // wait in milliseconds, or for a call turned back, why.
-func cause(code int) (brain.Cause, time.Duration) {
+func cause(code int) (routing.Cause, time.Duration) {
 	extra := max(code, 0) >> 4
 	switch code & 15 {
 	case 1:
-		return brain.CauseCircuits, 0
+		return routing.CauseCircuits, 0
 	case 2:
 		if extra > 0 {
-			return brain.CauseBeyond, 0
+			return routing.CauseBeyond, 0
 		}
-		return brain.CauseTurnedBack, 0
+		return routing.CauseTurnedBack, 0
 	case 3:
-		return brain.CauseProcessor, time.Duration(extra) * time.Millisecond
+		return routing.CauseProcessor, time.Duration(extra) * time.Millisecond
 	case 4:
-		return brain.CauseNumber, 0
+		return routing.CauseNumber, 0
 	}
-	return brain.CauseNone, 0
+	return routing.CauseNone, 0
 }
 
-func readWithdrawn(_ *host, _ *instance, f *fields) (brain.Event, error) {
+func readWithdrawn(_ *host, _ *instance, f *fields) (routing.Event, error) {
 	id, err := f.word("job")
-	return brain.Withdrawn{Call: id}, err
+	return routing.Withdrawn{Call: id}, err
 }
 
-func readProbed(_ *host, in *instance, f *fields) (brain.Event, error) {
-	var e brain.Probed
+func readProbed(_ *host, in *instance, f *fields) (routing.Event, error) {
+	var e routing.Probed
 	var err error
 	if e.Host, err = f.word("switch"); err != nil {
 		return nil, err
@@ -511,14 +511,14 @@
 	return e, nil
 }
 
-func readWoken(_ *host, _ *instance, f *fields) (brain.Event, error) {
+func readWoken(_ *host, _ *instance, f *fields) (routing.Event, error) {
 	_, err := f.word("token")
-	return brain.Woken{}, err
+	return routing.Woken{}, err
 }
 
 // report reads the values of a load report, in the order of the columns.
-func report(f *fields, columns []string) (brain.Report, error) {
-	r := brain.NoReport
+func report(f *fields, columns []string) (routing.Report, error) {
+	r := routing.NoReport
 	row, err := f.opt("feedback")
 	if err != nil || row == "" {
 		return r, err
@@ -564,14 +564,14 @@
 }
 
 // write puts one action on the wire.
-func (h *host) write(in *instance, a brain.Action) {
+func (h *host) write(in *instance, a routing.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case routing.Send:
 		h.open("DISPATCH", in)
 		h.put(a.Call)
 		h.put(a.Host)
 		h.putMs(a.Timeout)
-	case brain.Refuse:
+	case routing.Refuse:
 		h.open("NOT_NOW", in)
 		h.put(a.Call)
 		if in.advise {
@@ -579,21 +579,21 @@
 		} else {
 			h.put("0") // no advice on when to dial again
 		}
-	case brain.Fail:
+	case routing.Fail:
 		h.open("ABORT", in)
 		h.put(a.Call)
-	case brain.Cancel:
+	case routing.Cancel:
 		h.open("RECALL", in)
 		h.put(a.Call)
 		h.put(strconv.Itoa(a.Attempt))
-	case brain.Wake:
+	case routing.Wake:
 		h.open("SCHEDULE", in)
 		h.put("1")
 		h.putMs(a.After)
-	case brain.Subscribe:
+	case routing.Subscribe:
 		h.open("WATCH", in)
 		h.put("1")
-	case brain.Log:
+	case routing.Log:
 		h.text("NOTE_DOWN", in, a.Text)
 		return
 	default:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 const launch = "LAUNCH proxy-0 77 extra.skilledPools.count=2 extra.skilledPools.0=0,4 extra.skilledPools.1=3 classes.count=2 classes.0.deadlineMs=9000.0 classes.0.goalTimeMs=1500.0 " +
@@ -24,7 +24,7 @@
 func serve(t *testing.T, in string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
-	err = Serve(strings.NewReader(in), &b, io.Discard, brain.Make)
+	err = Serve(strings.NewReader(in), &b, io.Discard, routing.Make)
 	return b.String(), err
 }
 
@@ -129,11 +129,11 @@
 
 type broken struct{}
 
-func (broken) Handle(time.Duration, brain.Event) []brain.Action { panic("no such thing") }
+func (broken) Handle(time.Duration, routing.Event) []routing.Action { panic("no such thing") }
 
 func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
-	mk := func(brain.Settings, uint64) (brain.Decider, error) { return broken{}, nil }
+	mk := func(routing.Settings, uint64) (routing.Decider, error) { return broken{}, nil }
 	if err := Serve(strings.NewReader("SYNC 1\n"+launch+lists+"FLUSH\n"), &out, io.Discard, mk); err != nil {
 		t.Fatal(err)
 	}
@@ -143,22 +143,22 @@
 }
 
 type recorder struct {
-	s    brain.Settings
-	evs  []brain.Event
-	acts []brain.Action
+	s    routing.Settings
+	evs  []routing.Event
+	acts []routing.Action
 }
 
-func (r *recorder) Handle(_ time.Duration, ev brain.Event) []brain.Action {
+func (r *recorder) Handle(_ time.Duration, ev routing.Event) []routing.Action {
 	r.evs = append(r.evs, ev)
 	return r.acts
 }
 
 func TestEveryActionIsWritten(t *testing.T) {
-	mk := func(brain.Settings, uint64) (brain.Decider, error) {
-		return &recorder{acts: []brain.Action{
-			brain.Send{Call: "c", Host: "h", Timeout: 80 * time.Millisecond}, brain.Refuse{Call: "c"},
-			brain.Fail{Call: "c"}, brain.Cancel{Call: "c", Attempt: 2},
-			brain.Wake{After: time.Second}, brain.Subscribe{}, brain.Log{Text: "two\nlines"},
+	mk := func(routing.Settings, uint64) (routing.Decider, error) {
+		return &recorder{acts: []routing.Action{
+			routing.Send{Call: "c", Host: "h", Timeout: 80 * time.Millisecond}, routing.Refuse{Call: "c"},
+			routing.Fail{Call: "c"}, routing.Cancel{Call: "c", Attempt: 2},
+			routing.Wake{After: time.Second}, routing.Subscribe{}, routing.Log{Text: "two\nlines"},
 		}}, nil
 	}
 	var out bytes.Buffer
@@ -174,8 +174,8 @@
 
 // A refusal says when to dial again only where the settings allow it.
 func TestRefusalsAdvise(t *testing.T) {
-	mk := func(brain.Settings, uint64) (brain.Decider, error) {
-		return &recorder{acts: []brain.Action{brain.Refuse{Call: "c", After: 1500 * time.Millisecond}}}, nil
+	mk := func(routing.Settings, uint64) (routing.Decider, error) {
+		return &recorder{acts: []routing.Action{routing.Refuse{Call: "c", After: 1500 * time.Millisecond}}}, nil
 	}
 	for setting, want := range map[string]string{
 		"limits.retryAfter=true": "1500", "limits.retryAfter=false": "0", "": "0",
@@ -196,7 +196,7 @@
 
 func TestEventsAndSettingsAreTranslated(t *testing.T) {
 	var rec recorder
-	mk := func(s brain.Settings, _ uint64) (brain.Decider, error) { rec.s = s; return &rec, nil }
+	mk := func(s routing.Settings, _ uint64) (routing.Decider, error) { rec.s = s; return &rec, nil }
 	in := "SYNC 1\n" + launch +
 		"SETTLED proxy-0 c 5.25 shed 0 h 8003 1 3,20,-1,7.5\n" +
 		"SETTLED proxy-0 c 5 shed 0 h 18 1 -\nSETTLED proxy-0 c 5 app_error 0 h 4 0 -\n" +
@@ -204,18 +204,18 @@
 	if err := Serve(strings.NewReader(in), io.Discard, io.Discard, mk); err != nil {
 		t.Fatal(err)
 	}
-	rep := brain.NoReport
+	rep := routing.NoReport
 	rep.Free, rep.Size, rep.Rate = 3, 20, 7.5
-	want := []brain.Event{
-		brain.Settled{Call: "c", Attempt: 1, Host: "h", Result: brain.Full, Cause: brain.CauseProcessor,
+	want := []routing.Event{
+		routing.Settled{Call: "c", Attempt: 1, Host: "h", Result: routing.Full, Cause: routing.CauseProcessor,
 			Wait: 500 * time.Millisecond, Delay: 5250 * time.Microsecond, Report: rep},
-		brain.Settled{Call: "c", Attempt: 1, Host: "h", Result: brain.Full, Cause: brain.CauseBeyond,
-			Delay: 5 * time.Millisecond, Report: brain.NoReport},
-		brain.Settled{Call: "c", Host: "h", Result: brain.Error, Cause: brain.CauseNumber,
-			Delay: 5 * time.Millisecond, Report: brain.NoReport},
-		brain.Offered{Call: "c", Class: 1, Number: "ab", Dest: 2, Width: 2, Expires: 10 * time.Millisecond,
+		routing.Settled{Call: "c", Attempt: 1, Host: "h", Result: routing.Full, Cause: routing.CauseBeyond,
+			Delay: 5 * time.Millisecond, Report: routing.NoReport},
+		routing.Settled{Call: "c", Host: "h", Result: routing.Error, Cause: routing.CauseNumber,
+			Delay: 5 * time.Millisecond, Report: routing.NoReport},
+		routing.Offered{Call: "c", Class: 1, Number: "ab", Dest: 2, Width: 2, Expires: 10 * time.Millisecond,
 			Transit: true, Redial: true, Cut: true},
-		brain.Listed{Failed: true},
+		routing.Listed{Failed: true},
 	}
 	if !reflect.DeepEqual(rec.evs, want) {
 		t.Errorf("events\n%+v, want\n%+v", rec.evs, want)
--- a/brain/brain.go
+++ b/routing/controller.go
@@ -1,6 +1,6 @@
-// Package brain decides for one exchange's call controller where each call is
+// Package routing decides for one exchange's call controller where each call is
 // set up, when it waits and when it is turned away. Its types, events and
-// actions stand in brain/interface.go; everything that is decided stands here.
+// actions stand in routing/interface.go; everything that is decided stands here.
 //
 // The ordinary path is Eisenberg's throttle as revised in the discussion of
 // his paper (A.3), turned outward. Each far processor has a count of credits
@@ -13,7 +13,7 @@
 // tandem, which is redrawn at random after a block. What departs from this is
 // named a departure where it stands, with what it guards against; docs/design.md
 // has the list.
-package brain
+package routing
 
 import (
 	"cmp"
--- a/brain/brain_test.go
+++ b/routing/controller_test.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 import (
 	"bufio"
@@ -597,7 +597,7 @@
 }
 
 func TestModuleLimits(t *testing.T) {
-	f, err := os.Open("brain.go")
+	f, err := os.Open("controller.go")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/brain/plan_test.go
+++ b/routing/plan_test.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 import (
 	"fmt"
