--- a/internal/callapi/link.go
+++ b/internal/callapi/link.go
@@ -44,11 +44,11 @@
 
 var notes = map[string]routing.Cause{
 	"":                 routing.CauseNone,
-	"no_circuit":       routing.CauseCircuits,
+	"no_circuit":       routing.CauseNoCircuit,
 	"turned_back":      routing.CauseTurnedBack,
-	"processor_full":   routing.CauseProcessor,
-	"number_busy":      routing.CauseNumber,
-	"destination_full": routing.CauseBeyond,
+	"processor_full":   routing.CauseProcessorFull,
+	"number_busy":      routing.CauseNumberBusy,
+	"destination_full": routing.CauseDestinationFull,
 }
 
 // Read reads the next message. One that can't be read ends the connection:
@@ -82,9 +82,9 @@
 			return ev, errBad{err.Error()}
 		}
 	case typeRefused:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Full, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Refused, Cause: cause}
 	case typeFailed:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Error, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Failed, Cause: cause}
 	case typeReleased:
 		ev.Kind, ev.End.Result = trunk.End, routing.Ended
 		if m.Reason == reasonCut {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -51,9 +51,9 @@
 // Silence is how long a switch that has a set-up may say nothing at all: half of
 // the shortest goal time, as the module's mark for delays.
 func (s *Settings) Silence() time.Duration {
-	least := s.Brain.Classes[0].Goal
+	least := s.Brain.Classes[0].GoalTime
 	for _, k := range s.Brain.Classes {
-		least = min(least, k.Goal)
+		least = min(least, k.GoalTime)
 	}
 	return least / 2
 }
@@ -417,19 +417,19 @@
 	const most = math.MaxInt32
 	s := Settings{
 		Brain: routing.Settings{
-			Here:          r.whole(at+"extra.here", -1, -1, most),
-			Fleet:         r.whole(at+"fleetSize", 1, 1, most),
-			Pools:         r.text(at+"extra.topology", "meshed") == "groups",
-			MaxAttempts:   r.whole(at+"limits.mostTries", 1, 1, most),
-			Release:       r.ms(at+"extra.releaseMs", 500),
-			Resend:        r.ms(at+"extra.resendMs", 0),
-			ColdRamp:      r.ms(at+"rules.rampTimeMs", 0),
-			ColdShare:     r.num(at+"rules.coldShare", 0, 0, 1),
-			FallMultiple:  r.num(at+"rules.fallMultiple", 1, 0, most),
-			FallWindow:    r.ms(at+"rules.overloadForMs", 0),
-			AnswerSlack:   r.ms(at+"rules.answerSlackMs", 0),
-			CancelAllowed: r.yes(at + "limits.cancel"),
-			RedialsMarked: r.yes(at + "clients.marksRetry"),
+			OwnExchange:    r.whole(at+"extra.here", -1, -1, most),
+			FleetSize:      r.whole(at+"fleetSize", 1, 1, most),
+			PoolMode:       r.text(at+"extra.topology", "meshed") == "groups",
+			MaxAttempts:    r.whole(at+"limits.mostTries", 1, 1, most),
+			ReleaseDelay:   r.ms(at+"extra.releaseMs", 500),
+			ResendInterval: r.ms(at+"extra.resendMs", 0),
+			WarmUpTime:     r.ms(at+"rules.rampTimeMs", 0),
+			ColdCapacity:   r.num(at+"rules.coldShare", 0, 0, 1),
+			OverloadFactor: r.num(at+"rules.fallMultiple", 1, 0, most),
+			OverloadWindow: r.ms(at+"rules.overloadForMs", 0),
+			AnswerSlack:    r.ms(at+"rules.answerSlackMs", 0),
+			CancelAllowed:  r.yes(at + "limits.cancel"),
+			RedialsMarked:  r.yes(at + "clients.marksRetry"),
 		},
 		Classes:     map[string]int{},
 		DialTimeout: r.ms(at+"limits.dialTimeoutMs", 500),
@@ -450,7 +450,7 @@
 	for i := range n {
 		key := at + "classes." + strconv.Itoa(i) + "."
 		k := routing.Class{
-			Goal: r.ms(key+"goalTimeMs", 0), Deadline: r.ms(key+"deadlineMs", 0), Worth: r.num(key+"worth", 1, 0, most),
+			GoalTime: r.ms(key+"goalTimeMs", 0), Deadline: r.ms(key+"deadlineMs", 0), Worth: r.num(key+"worth", 1, 0, most),
 			Width: r.whole(at+"extra.widths."+strconv.Itoa(i), 1, 1, most),
 			Hold:  r.ms(at+"extra.classHoldMs."+strconv.Itoa(i), 0),
 		}
@@ -458,7 +458,7 @@
 		for j := range r.at(pools).Size() {
 			k.Pools = append(k.Pools, r.whole(pools+"."+strconv.Itoa(j), 0, 0, most))
 		}
-		if k.Goal <= 0 {
+		if k.GoalTime <= 0 {
 			r.fail(key+"goalTimeMs", "a time above 0 is wanted")
 		}
 		if k.Deadline <= 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,10 +31,10 @@
 	want := &Platform{Name: "n3", Listen: "127.0.0.1:5070", Seed: 0x8c1f30d27a5be964, Sockets: 4096, MemoryMB: 192,
 		Channel: "127.0.0.1:2379", Known: []byte(`{"cursor":3,"cmds":[]}`),
 		Settings: Settings{Classes: map[string]int{"space-check": 0}, Widths: true, Tenants: map[string]bool{"main-lot": true}, DialTimeout: 450 * time.Millisecond, OpenCap: 20000,
-			Brain: routing.Settings{Here: 2, Fleet: 4, MaxAttempts: 5, Release: 500 * time.Millisecond,
-				Resend: 800 * time.Millisecond, ColdRamp: 15 * time.Second, ColdShare: 0.29, FallMultiple: 4,
-				FallWindow: 2 * time.Second, AnswerSlack: 20 * time.Millisecond, CancelAllowed: true,
-				Classes: []routing.Class{{Goal: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, Width: 4,
+			Brain: routing.Settings{OwnExchange: 2, FleetSize: 4, MaxAttempts: 5, ReleaseDelay: 500 * time.Millisecond,
+				ResendInterval: 800 * time.Millisecond, WarmUpTime: 15 * time.Second, ColdCapacity: 0.29, OverloadFactor: 4,
+				OverloadWindow: 2 * time.Second, AnswerSlack: 20 * time.Millisecond, CancelAllowed: true,
+				Classes: []routing.Class{{GoalTime: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, Width: 4,
 					Hold: 11400500 * time.Microsecond}}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -70,7 +70,7 @@
 	due := time.NewTimer(time.Until(k.Deadline.Add(-guardMargin)))
 	defer due.Stop()
 	c.tell(routing.Offered{Call: k.name, Class: k.Class, Number: k.Number, Dest: k.Dest, Width: k.Width,
-		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, Cut: k.Again})
+		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, AfterCut: k.Again})
 
 	for {
 		// What the module wants next: a send now, or after a hold or a rest; or
@@ -80,7 +80,7 @@
 		case routing.Send:
 			send = a
 		case routing.Refuse:
-			k.caller.Refuse(k.ID, a.After)
+			k.caller.Refuse(k.ID, a.RetryAfter)
 			c.opt.Observer.FinalAnswer(AnswerRefused)
 			return
 		case routing.Fail:
@@ -128,7 +128,7 @@
 		case errors.Is(err, ErrNotReached):
 			c.settle(k, send, sent, End{Result: routing.NotReached}, false)
 		case errors.Is(err, ErrNotSent):
-			c.settle(k, send, sent, End{Result: routing.Unused}, false)
+			c.settle(k, send, sent, End{Result: routing.NotSent}, false)
 		case err != nil:
 			c.settle(k, send, sent, End{Result: routing.Reset}, false)
 		case how == byClock:
@@ -139,11 +139,11 @@
 			c.settle(k, send, sent, End{Result: routing.Cancelled}, false)
 		case !r.answer:
 			if r.end.Result == routing.Ended {
-				r.end.Result = routing.Error // released without an answer
+				r.end.Result = routing.Failed // released without an answer
 			}
 			c.settle(k, send, sent, r.end, false)
 		default:
-			c.tell(routing.Stood{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
+			c.tell(routing.Established{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
 			if err := k.caller.Answer(k.ID, r.description); err != nil {
 				l.Release(k.ID)
 				c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
@@ -223,7 +223,7 @@
 	for len(k.actions) > 0 {
 		if send, ok := (<-k.actions).(routing.Send); ok {
 			k.sends++
-			c.settle(k, send, time.Now(), End{Result: routing.Unused}, true)
+			c.settle(k, send, time.Now(), End{Result: routing.NotSent}, true)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		err = errSends
 	case k.Transit && m.Number != k.Dest:
 		err = errRoute
-	case !c.opt.Settings.Pools && m.Number == c.opt.Settings.Here:
+	case !c.opt.Settings.PoolMode && m.Number == c.opt.Settings.OwnExchange:
 		err = errOwn
 	}
 	k.sends++ // the module counts this one, whatever becomes of it
@@ -342,11 +342,11 @@
 	}
 	switch e.Result {
 	case routing.TimedOut, routing.Reset, routing.Cancelled:
-		k.notBefore = now.Add(c.opt.Settings.Release)
+		k.notBefore = now.Add(c.opt.Settings.ReleaseDelay)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.out = nil
-	c.tellLocked(routing.Settled{Call: k.name, Attempt: k.sends - 1, Host: send.Host, Result: e.Result, Cause: e.Cause,
-		Over: over, Delay: now.Sub(sent), Report: routing.NoReport})
+	c.tellLocked(routing.AttemptEnded{Call: k.name, Attempt: k.sends - 1, Host: send.Host, Result: e.Result, Cause: e.Cause,
+		CallEnded: over, Delay: now.Sub(sent), Report: routing.NoReport})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -221,12 +221,12 @@
 			c.hand(a.Call, a)
 		case routing.Cancel:
 			c.hand(a.Call, a)
-		case routing.Wake:
+		case routing.SetTimer:
 			time.AfterFunc(a.After, func() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if !c.closed {
-					c.tellLocked(routing.Woken{})
+					c.tellLocked(routing.TimerFired{})
 				}
 			})
 		case routing.Log:
@@ -250,11 +250,11 @@
 }
 
 // Plan tells the module of weights worked out ahead, valid until a time.
-func (c *Core) Plan(e routing.Planned, until time.Time) {
+func (c *Core) Plan(e routing.PlanUpdated, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		e.Until = c.clock(until)
+		e.ValidUntil = c.clock(until)
 		c.tellLocked(e)
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -57,9 +57,9 @@
 
 func newCore(t *testing.T) (*Core, *fake) {
 	f := &fake{sent: make(chan string, 64), told: make(chan string, 64)}
-	class := routing.Class{Goal: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Width: 1}
+	class := routing.Class{GoalTime: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Width: 1}
 	c, err := New(t.Context(), Options{
-		Settings: routing.Settings{Here: 0, Fleet: 2, MaxAttempts: 5, Release: 20 * time.Millisecond,
+		Settings: routing.Settings{OwnExchange: 0, FleetSize: 2, MaxAttempts: 5, ReleaseDelay: 20 * time.Millisecond,
 			CancelAllowed: true, Classes: []routing.Class{class}},
 		Open: func(m Member, _ *Peer) (Link, error) { return fakeLink{f, m.ID}, nil }})
 	if err != nil {
@@ -136,7 +136,7 @@
 	f.want(t, f.sent, "old set-up")
 	peerOf(t, c, "old").Answered(1, []byte("d"))
 	f.want(t, f.told, "answer d")
-	list(c, false, Member{ID: "old", Addr: "x", Number: 1, State: routing.Gone}, Member{ID: "new", Addr: "x", Number: 1})
+	list(c, false, Member{ID: "old", Addr: "x", Number: 1, State: routing.Removed}, Member{ID: "new", Addr: "x", Number: 1})
 	offer(t, c, f, 2, 1)
 	f.want(t, f.sent, "new set-up")
 	f.want(t, f.told, "cut")
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -32,7 +32,7 @@
 		for id, m := range c.members {
 			if m.source == l.Source && !present[id] {
 				left := m.Member
-				left.State = routing.Gone
+				left.State = routing.Removed
 				ms = append(ms[:len(ms):len(ms)], left)
 			}
 		}
@@ -40,12 +40,12 @@
 	if !l.Graceful {
 		ms = c.withDisplaced(ms, l.Source)
 	}
-	var ev routing.Listed
+	var ev routing.ListUpdated
 	for _, m := range ms {
 		if !c.setMember(m, l) {
 			continue
 		}
-		e := routing.Entry{Host: m.ID, Number: m.Number, State: m.State}
+		e := routing.ListEntry{Host: m.ID, Exchange: m.Number, State: m.State}
 		if !m.Started.IsZero() {
 			e.Started = max(0, c.clock(m.Started))
 		}
@@ -59,13 +59,13 @@
 func (c *Core) withDisplaced(entries []Member, source string) []Member {
 	var gone []Member
 	for _, e := range entries {
-		if e.State == routing.Gone {
+		if e.State == routing.Removed {
 			continue
 		}
 		for _, m := range c.members {
 			if m.Addr == e.Addr && m.ID != e.ID && m.source == source && !listedElsewhere(entries, m.Member) {
 				displaced := m.Member
-				displaced.State = routing.Gone
+				displaced.State = routing.Removed
 				gone = append(gone, displaced)
 			}
 		}
@@ -77,7 +77,7 @@
 // gone themselves.
 func listedElsewhere(entries []Member, m Member) bool {
 	return slices.ContainsFunc(entries, func(e Member) bool {
-		return e.ID == m.ID && (e.Addr != m.Addr || e.State == routing.Gone)
+		return e.ID == m.ID && (e.Addr != m.Addr || e.State == routing.Removed)
 	})
 }
 
@@ -88,7 +88,7 @@
 		c.log.Error("a switch that another list has", "switch", m.ID, "list", l.Source, "other", old.source)
 		return false
 	}
-	if m.State == routing.Gone {
+	if m.State == routing.Removed {
 		if old != nil {
 			c.remove(old, l.Graceful)
 		}
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -68,7 +68,7 @@
 
 // Group tells the state of the group toward the switch.
 func (p *Peer) Group(r routing.Report) {
-	p.core.tell(routing.Probed{Host: p.id, Report: r})
+	p.core.tell(routing.Reported{Host: p.id, Report: r})
 }
 
 // CallsOver tells that what has stood at the switch since before a time is over, though it
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -141,7 +141,7 @@
 
 // Planned solves for a config and returns the event that each exchange's module is
 // told, valid until past the end.
-func Planned(c *mesh.Config, target float64, guards bool) ([]routing.Planned, *plan.Answer, error) {
+func Planned(c *mesh.Config, target float64, guards bool) ([]routing.PlanUpdated, *plan.Answer, error) {
 	p := Problem(c, target)
 	a, err := plan.Solve(p, plan.Options{})
 	if err != nil {
@@ -151,9 +151,9 @@
 	for x := range c.Exchanges {
 		number[name(x)] = x
 	}
-	events := make([]routing.Planned, c.Exchanges)
+	events := make([]routing.PlanUpdated, c.Exchanges)
 	for x := range events {
-		events[x] = routing.Planned{Version: 1, Until: 2 * time.Hour}
+		events[x] = routing.PlanUpdated{Version: 1, ValidUntil: 2 * time.Hour}
 	}
 	for _, w := range a.Weights(p) {
 		e := &events[number[w.From]]
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -103,7 +103,7 @@
 func (e *Experiment) one(size int, seed uint64, policy string) (*mesh.Result, error) {
 	c := Draw(size, e.Load, time.Duration(e.LengthS*float64(time.Second)), seed)
 	Trouble(&c, e.Troubles)
-	c.Make = routing.Make
+	c.Make = routing.NewPolicy
 	switch policy {
 	case PolicyEven:
 		c.Make = mesh.Even
--- a/internal/mesh/day_test.go
+++ b/internal/mesh/day_test.go
@@ -13,7 +13,7 @@
 // day is one of the lab's, for the module.
 func day(n int, load float64, seed uint64) mesh.Config {
 	c := lab.Draw(n, load, 45*time.Second, seed)
-	c.Make = routing.Make
+	c.Make = routing.NewPolicy
 	return c
 }
 
@@ -21,7 +21,7 @@
 // and in foul, for every decider.
 func TestSameSeedSameTrace(t *testing.T) {
 	wants := "" // what callers want, which no decider changes: pairs of runs are paired
-	for name, mk := range map[string]routing.Maker{"module": routing.Make, "even": mesh.Even, "direct": mesh.Direct} {
+	for name, mk := range map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct} {
 		c := day(5, 1.15, 4)
 		c.Make, c.Check, c.Length = mk, true, 18*time.Second
 		c.Troubles = []mesh.Trouble{{From: 4 * time.Second, To: 12 * time.Second, Exchanges: []int{1, 2}, Slow: 2.5},
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -79,7 +79,7 @@
 	ColdShare float64
 	ColdRamp  time.Duration
 	Troubles  []Trouble
-	Make      routing.Maker
+	Make      routing.Factory
 	// Tell is called for each exchange once its decider has been told of the list,
 	// also after a restart: for what reaches a decider by other ways.
 	Tell func(exchange int, now time.Duration) []routing.Event
@@ -144,7 +144,7 @@
 type exchange struct {
 	no      int
 	proc    processor
-	d       routing.Decider
+	d       routing.Policy
 	groups  []*group // by far exchange; nil: none
 	tries   map[string]*try
 	up      bool
@@ -232,11 +232,11 @@
 	}
 	m := &Mesh{engine: newEngine(), cfg: cfg, wire: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	m.res.begin(&cfg)
-	m.set = routing.Settings{Fleet: cfg.Exchanges, MaxAttempts: mostTries, Release: release, Resend: resend,
-		ColdRamp: cfg.ColdRamp, ColdShare: cfg.ColdShare, FallMultiple: fallFactor, FallWindow: fallWindow,
+	m.set = routing.Settings{FleetSize: cfg.Exchanges, MaxAttempts: mostTries, ReleaseDelay: release, ResendInterval: resend,
+		WarmUpTime: cfg.ColdRamp, ColdCapacity: cfg.ColdShare, OverloadFactor: fallFactor, OverloadWindow: fallWindow,
 		AnswerSlack: answerSlack, CancelAllowed: true}
 	for _, k := range cfg.Classes {
-		m.set.Classes = append(m.set.Classes, routing.Class{Goal: k.Goal, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
+		m.set.Classes = append(m.set.Classes, routing.Class{GoalTime: k.Goal, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
 	}
 	for i := range cfg.Exchanges {
 		x := &exchange{no: i, groups: make([]*group, cfg.Exchanges), told: make([]bool, cfg.Exchanges), legs: map[*attempt]bool{}}
@@ -321,15 +321,15 @@
 	x.up, x.started, x.epoch, x.wakeAt = true, cold, x.epoch+1, 0
 	x.tries = map[string]*try{}
 	s := m.set
-	s.Here = x.no
+	s.OwnExchange = x.no
 	var err error
 	if x.d, err = m.cfg.Make(s, m.cfg.Seed*1009+uint64(x.no)*31+uint64(x.epoch)); err != nil {
 		m.fail("exchange %d: %w", x.no, err)
 		return
 	}
-	list := routing.Listed{Full: true}
+	list := routing.ListUpdated{Complete: true}
 	for _, o := range m.xs {
-		list.Entries = append(list.Entries, routing.Entry{Host: host(o.no), Number: o.no, Started: o.started, State: o.state})
+		list.Entries = append(list.Entries, routing.ListEntry{Host: host(o.no), Exchange: o.no, Started: o.started, State: o.state})
 	}
 	m.tell(x, list)
 	for far := range m.xs {
@@ -383,12 +383,12 @@
 			if t := x.tries[a.Call]; t != nil && t.out != nil && t.out.no == a.Attempt && t.out.phase == out {
 				m.giveUp(t.out, routing.Cancelled)
 			}
-		case routing.Wake:
+		case routing.SetTimer:
 			at := m.now + a.After
 			epoch := x.epoch
 			m.at(at, 'W', uint32(x.no), func() {
 				if x.epoch == epoch && x.up {
-					m.handle(x, routing.Woken{})
+					m.handle(x, routing.TimerFired{})
 				}
 			})
 		}
@@ -404,7 +404,7 @@
 	m.after(0, 'N', uint32(x.no), func() {
 		x.told[far] = false
 		if x.up {
-			m.handle(x, routing.Probed{Host: host(far), Report: m.report(x, far)})
+			m.handle(x, routing.Reported{Host: host(far), Report: m.report(x, far)})
 		}
 	})
 }
@@ -644,10 +644,10 @@
 	if a := t.parent; a != nil {
 		cause := routing.CauseTurnedBack
 		if t.beyond {
-			cause = routing.CauseBeyond
+			cause = routing.CauseDestinationFull
 		}
 		m.res.TurnedBack++
-		m.after(m.delay(), 'B', uint32(x.no), func() { m.settle(a, routing.Full, cause) })
+		m.after(m.delay(), 'B', uint32(x.no), func() { m.settle(a, routing.Refused, cause) })
 		return
 	}
 	m.res.Refused++
@@ -682,7 +682,7 @@
 	m.res.Sends++
 	k := m.width(a)
 	if t.sent > mostTries || a.g == nil || a.g.free < k {
-		m.after(0, 'U', uint32(x.no), func() { m.settle(a, routing.Unused, routing.CauseCircuits) })
+		m.after(0, 'U', uint32(x.no), func() { m.settle(a, routing.NotSent, routing.CauseNoCircuit) })
 		return
 	}
 	if to != t.c.to {
@@ -730,7 +730,7 @@
 	if x.proc.wait() > m.cfg.MaxWait[x.no] {
 		m.res.ProcessorFull++
 		x.proc.add(m.work(x, m.cfg.Work.Reject), false, nil)
-		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.Full, routing.CauseProcessor) })
+		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.Refused, routing.CauseProcessorFull) })
 		return
 	}
 	x.proc.add(m.work(x, 1), false, func() {
@@ -766,7 +766,7 @@
 	t := a.t
 	a.phase = stands
 	t.owed = false
-	m.tell(t.x, routing.Stood{Call: t.key, Attempt: a.no, Delay: m.now - a.sentAt})
+	m.tell(t.x, routing.Established{Call: t.key, Attempt: a.no, Delay: m.now - a.sentAt})
 	if p := t.parent; p != nil {
 		p.answered = true
 		m.back(p)
@@ -790,7 +790,7 @@
 	}
 	a.t.x.proc.add(m.work(a.t.x, m.cfg.Work.Release), true, func() {
 		m.give(a)
-		m.tell(a.t.x, routing.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Ended, Over: true,
+		m.tell(a.t.x, routing.AttemptEnded{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Ended, CallEnded: true,
 			Delay: m.now - a.sentAt, Report: m.report(a.t.x, a.to)})
 		delete(a.t.x.tries, a.t.key)
 	})
@@ -811,8 +811,8 @@
 
 func (m *Mesh) settled(a *attempt, r routing.Result, cause routing.Cause) {
 	t := a.t
-	t.beyond = cause == routing.CauseProcessor
-	m.tell(t.x, routing.Settled{Call: t.key, Attempt: a.no, Host: host(a.to), Result: r, Cause: cause, Over: !t.owed,
+	t.beyond = cause == routing.CauseProcessorFull
+	m.tell(t.x, routing.AttemptEnded{Call: t.key, Attempt: a.no, Host: host(a.to), Result: r, Cause: cause, CallEnded: !t.owed,
 		Delay: m.now - a.sentAt, Report: m.report(t.x, a.to)})
 	m.forget(t)
 }
@@ -865,7 +865,7 @@
 
 // down crashes an exchange: all that touches it is cut.
 func (m *Mesh) down(x *exchange) {
-	x.up, x.state = false, routing.Gone
+	x.up, x.state = false, routing.Removed
 	x.proc.clear()
 	for _, o := range m.xs {
 		var legs []*attempt // a map's order must not decide
@@ -899,7 +899,7 @@
 				if a.t.parent == nil {
 					m.res.cut(a.t.c, m.cfg.Classes[a.t.c.class])
 				}
-				m.tell(a.t.x, routing.Settled{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Reset, Over: true, Report: routing.NoReport})
+				m.tell(a.t.x, routing.AttemptEnded{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Reset, CallEnded: true, Report: routing.NoReport})
 				delete(a.t.x.tries, a.t.key)
 			default:
 				m.give(a)
@@ -930,12 +930,12 @@
 
 // list tells every other decider of an exchange's state, late.
 func (m *Mesh) list(x *exchange) {
-	e := routing.Entry{Host: host(x.no), Number: x.no, Started: x.started, State: x.state}
+	e := routing.ListEntry{Host: host(x.no), Exchange: x.no, Started: x.started, State: x.state}
 	for _, o := range m.xs {
 		if o != x {
 			m.after(between(m.wire, m.cfg.Notice), 'I', uint32(o.no), func() {
 				if o.up {
-					m.handle(o, routing.Listed{Entries: []routing.Entry{e}})
+					m.handle(o, routing.ListUpdated{Entries: []routing.ListEntry{e}})
 				}
 			})
 		}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -155,14 +155,14 @@
 		},
 		"call in transit": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Offered); ok && o.Transit {
-				third := slices.IndexFunc(hosts[:], func(h string) bool { return h != host(o.Dest) && h != host(p.set.Here) })
+				third := slices.IndexFunc(hosts[:], func(h string) bool { return h != host(o.Dest) && h != host(p.set.OwnExchange) })
 				return []routing.Action{routing.Send{Call: o.Call, Host: host(third)}}
 			}
 			return acts
 		},
 	} {
 		c := five()
-		c.Make = func(s routing.Settings, seed uint64) (routing.Decider, error) {
+		c.Make = func(s routing.Settings, seed uint64) (routing.Policy, error) {
 			p := newPlain(s, seed, true)
 			return odder{p, odd}, nil
 		}
--- a/internal/mesh/policy.go
+++ b/internal/mesh/policy.go
@@ -16,7 +16,7 @@
 	set    routing.Settings
 	rng    *rand.Rand
 	round  bool
-	hosts  []routing.Entry
+	hosts  []routing.ListEntry
 	free   map[string]int // circuits; -1: not known
 	calls  map[string]*plainCall
 	subbed bool
@@ -31,12 +31,12 @@
 }
 
 // Even makes a Plain that uses tandems.
-func Even(s routing.Settings, seed uint64) (routing.Decider, error) {
+func Even(s routing.Settings, seed uint64) (routing.Policy, error) {
 	return newPlain(s, seed, true), nil
 }
 
 // Direct makes a Plain that never does.
-func Direct(s routing.Settings, seed uint64) (routing.Decider, error) {
+func Direct(s routing.Settings, seed uint64) (routing.Policy, error) {
 	return newPlain(s, seed, false), nil
 }
 
@@ -47,15 +47,15 @@
 // Handle takes one event and returns what is to be done.
 func (p *Plain) Handle(now time.Duration, ev routing.Event) []routing.Action {
 	switch e := ev.(type) {
-	case routing.Listed:
+	case routing.ListUpdated:
 		return p.listed(e)
-	case routing.Probed:
+	case routing.Reported:
 		p.report(e.Host, e.Report)
 	case routing.Offered:
 		k := &plainCall{Offered: e, owed: true}
 		p.calls[e.Call] = k
 		return p.place(now, k)
-	case routing.Stood:
+	case routing.Established:
 		if k := p.calls[e.Call]; k != nil {
 			k.owed = false
 		}
@@ -66,19 +66,19 @@
 				delete(p.calls, e.Call)
 			}
 		}
-	case routing.Settled:
+	case routing.AttemptEnded:
 		p.report(e.Host, e.Report)
 		k := p.calls[e.Call]
 		if k == nil || e.Attempt != k.sends-1 {
 			return nil
 		}
 		k.out = false
-		if e.Over || !k.owed {
+		if e.CallEnded || !k.owed {
 			delete(p.calls, e.Call)
 			return nil
 		}
 		// After a time-out or reset the call would have to rest: it is given back.
-		if e.Result == routing.Full || e.Result == routing.Unused {
+		if e.Result == routing.Refused || e.Result == routing.NotSent {
 			return p.place(now, k)
 		}
 		delete(p.calls, e.Call)
@@ -93,21 +93,21 @@
 	}
 }
 
-func (p *Plain) listed(e routing.Listed) []routing.Action {
+func (p *Plain) listed(e routing.ListUpdated) []routing.Action {
 	if e.Failed {
 		return nil
 	}
-	if e.Full {
+	if e.Complete {
 		p.hosts = nil
 	}
 	for _, n := range e.Entries {
-		p.hosts = slices.DeleteFunc(p.hosts, func(o routing.Entry) bool { return o.Host == n.Host })
+		p.hosts = slices.DeleteFunc(p.hosts, func(o routing.ListEntry) bool { return o.Host == n.Host })
 		if n.State == routing.Ready {
 			p.hosts = append(p.hosts, n)
 		}
 	}
-	slices.SortFunc(p.hosts, func(a, b routing.Entry) int { return a.Number - b.Number })
-	if p.set.AskForList && !p.subbed {
+	slices.SortFunc(p.hosts, func(a, b routing.ListEntry) int { return a.Exchange - b.Exchange })
+	if p.set.SubscribeRequired && !p.subbed {
 		p.subbed = true
 		return []routing.Action{routing.Subscribe{}}
 	}
@@ -116,15 +116,15 @@
 
 // place sends a call on by a way not tried yet, or refuses it.
 func (p *Plain) place(now time.Duration, k *plainCall) []routing.Action {
-	var ways []routing.Entry
+	var ways []routing.ListEntry
 	for _, h := range p.hosts {
 		free, known := p.free[h.Host]
-		if h.Number == p.set.Here || slices.Contains(k.tried, h.Number) || known && free < k.Width ||
-			h.Started > 0 && now < h.Started+p.set.ColdRamp {
+		if h.Exchange == p.set.OwnExchange || slices.Contains(k.tried, h.Exchange) || known && free < k.Width ||
+			h.Started > 0 && now < h.Started+p.set.WarmUpTime {
 			continue
 		}
-		if h.Number == k.Dest {
-			ways = []routing.Entry{h}
+		if h.Exchange == k.Dest {
+			ways = []routing.ListEntry{h}
 			break
 		}
 		if p.round && !k.Transit {
@@ -138,6 +138,6 @@
 	h := ways[p.rng.IntN(len(ways))]
 	k.sends++
 	k.out = true
-	k.tried = append(k.tried, h.Number)
+	k.tried = append(k.tried, h.Exchange)
 	return []routing.Action{routing.Send{Call: k.Call, Host: h.Host, Timeout: k.Expires - now}}
 }
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -39,7 +39,7 @@
 type Loop struct {
 	set  Settings
 	log  *slog.Logger
-	tell func(e routing.Planned, until time.Time)
+	tell func(e routing.PlanUpdated, until time.Time)
 	from time.Time
 	done chan outcome // of the one solve on its way
 
@@ -67,7 +67,7 @@
 }
 
 // New makes a loop that tells the module of plans through tell.
-func New(set Settings, log *slog.Logger, tell func(e routing.Planned, until time.Time)) *Loop {
+func New(set Settings, log *slog.Logger, tell func(e routing.PlanUpdated, until time.Time)) *Loop {
 	if set.Deadline <= 0 {
 		set.Deadline = defaultDeadline
 	}
@@ -99,7 +99,7 @@
 		s.Here, l.here = here, here
 		version := uint64(time.Now().UnixNano()) // above those of a planner before
 		if l.p != nil {
-			l.tell(routing.Planned{Version: version}, time.Now())
+			l.tell(routing.PlanUpdated{Version: version}, time.Now())
 		}
 		l.p = replan.New(s, version)
 	}
@@ -205,7 +205,7 @@
 			l.tell(l.event(a), until)
 			l.log.Info("plan in force", "version", a.Version, "worth", a.Answer.Worth, "bound", a.Answer.Bound, "gap", a.Answer.Gap, "until", until.UTC().Format(time.RFC3339))
 		case replan.Withdraw:
-			l.tell(routing.Planned{Version: a.Version}, time.Now())
+			l.tell(routing.PlanUpdated{Version: a.Version}, time.Now())
 			l.log.Info("plan withdrawn", "version", a.Version)
 		case replan.Note:
 			if a.Err != nil {
@@ -244,8 +244,8 @@
 
 // event is what the module is told of a plan: the weights of the own exchange's calls
 // and the worth of its groups' circuits.
-func (l *Loop) event(a replan.Publish) routing.Planned {
-	e := routing.Planned{Version: a.Version}
+func (l *Loop) event(a replan.Publish) routing.PlanUpdated {
+	e := routing.PlanUpdated{Version: a.Version}
 	for _, w := range a.Answer.Weights(a.Problem) {
 		dest, ok := l.numbers[w.To]
 		tandem, ok2 := l.numbers[w.Tandem]
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -21,21 +21,21 @@
 // heard keeps what a module would have been told.
 type heard struct {
 	mu     sync.Mutex
-	events []routing.Planned
+	events []routing.PlanUpdated
 	log    bytes.Buffer
 }
 
-func (h *heard) tell(e routing.Planned, until time.Time) {
+func (h *heard) tell(e routing.PlanUpdated, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, e)
 }
 
-func (h *heard) last() (routing.Planned, int) {
+func (h *heard) last() (routing.PlanUpdated, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.events) == 0 {
-		return routing.Planned{}, 0
+		return routing.PlanUpdated{}, 0
 	}
 	return h.events[len(h.events)-1], len(h.events)
 }
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -99,7 +99,7 @@
 	UpSince float64 `json:"up_since_ms"`
 }
 
-var phases = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Gone}
+var phases = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Removed}
 
 // ReadEvents reads events in the channel's form. One that can't be read spoils all.
 func ReadEvents(b []byte) (*Events, error) {
--- a/internal/platform/link.go
+++ b/internal/platform/link.go
@@ -149,28 +149,28 @@
 	e := core.End{Cause: notes[string(m.Get(sig.ParamNote))]}
 	switch cause := m.Cause(); cause {
 	case sig.CauseNoCircuit, sig.CauseCongestion:
-		e.Result = routing.Full
+		e.Result = routing.Refused
 	case sig.CauseBusy, sig.CauseResource:
-		e.Result = routing.Error
+		e.Result = routing.Failed
 	case sig.CauseTimer:
-		e.Result = routing.Unused
+		e.Result = routing.NotSent
 	case sig.CauseTemporary:
 		e.Result = routing.Reset
 	case sig.CauseNormal:
 		e.Result = routing.Ended
 	default:
-		e.Result = routing.Error
+		e.Result = routing.Failed
 		return e, fmt.Errorf("cause %d", cause)
 	}
 	return e, nil
 }
 
 var notes = map[string]routing.Cause{
-	"no_path":        routing.CauseCircuits,
+	"no_path":        routing.CauseNoCircuit,
 	"sent_back":      routing.CauseTurnedBack,
-	"queue_long":     routing.CauseProcessor,
-	"line_taken":     routing.CauseNumber,
-	"end_queue_long": routing.CauseBeyond,
+	"queue_long":     routing.CauseProcessorFull,
+	"line_taken":     routing.CauseNumberBusy,
+	"end_queue_long": routing.CauseDestinationFull,
 }
 
 // groupState reads a group's free circuits and size, and what else a switch
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -276,8 +276,8 @@
 	set, opt := p.settings(life)
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
-		ps.Here = set.Brain.Here
-		p.planner = planner.New(ps, p.log, func(e routing.Planned, until time.Time) { p.core.Plan(e, until) })
+		ps.Here = set.Brain.OwnExchange
+		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.Plan(e, until) })
 		opt.Seen = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
 	}
@@ -357,7 +357,7 @@
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
 	}
 	opt.Settings = set.Brain
-	times := trunk.Times{Dial: set.DialTimeout, Silence: set.Silence(), Rest: set.Brain.Release}
+	times := trunk.Times{Dial: set.DialTimeout, Silence: set.Silence(), Rest: set.Brain.ReleaseDelay}
 	opt.Open = func(m core.Member, peer *core.Peer) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
 		if inventory.IsURL(m.Addr) {
@@ -372,10 +372,10 @@
 
 // dests is how many destinations there are by the settings.
 func dests(set *config.Settings) int {
-	if set.Brain.Pools {
+	if set.Brain.PoolMode {
 		return maxPools
 	}
-	return set.Brain.Fleet
+	return set.Brain.FleetSize
 }
 
 // form is what set-ups on the platform must look like by the settings.
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -19,7 +19,7 @@
 
 // playDay plays a day of the lab against real proxies, one an exchange, and stand-ins,
 // all on loopback, and returns the share of the worth that stood in time.
-func playDay(t *testing.T, cfg mesh.Config, events []routing.Planned) float64 {
+func playDay(t *testing.T, cfg mesh.Config, events []routing.PlanUpdated) float64 {
 	t.Helper()
 	n := cfg.Exchanges
 	world := standin.NewMesh(cfg)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -63,25 +63,25 @@
 		p.vals[key] = val
 	}
 	s := routing.Settings{
-		Here:          p.whole("extra.here", -1),
-		Fleet:         p.whole("fleetSize", 1),
-		Pools:         p.vals["extra.topology"] == "groups",
-		MaxAttempts:   p.whole("limits.mostTries", 1),
-		Release:       p.ms("extra.releaseMs"),
-		Resend:        p.ms("extra.resendMs"),
-		ColdRamp:      p.ms("rules.rampTimeMs"),
-		ColdShare:     p.num("rules.coldShare", 0),
-		FallMultiple:  p.num("rules.fallMultiple", 1),
-		FallWindow:    p.ms("rules.overloadForMs"),
-		AnswerSlack:   p.ms("rules.answerSlackMs"),
-		CancelAllowed: p.yes("limits.cancel"),
-		AskForList:    p.vals["registryMode"] == "subscribe",
-		RedialsMarked: p.yes("clients.marksRetry"),
+		OwnExchange:       p.whole("extra.here", -1),
+		FleetSize:         p.whole("fleetSize", 1),
+		PoolMode:          p.vals["extra.topology"] == "groups",
+		MaxAttempts:       p.whole("limits.mostTries", 1),
+		ReleaseDelay:      p.ms("extra.releaseMs"),
+		ResendInterval:    p.ms("extra.resendMs"),
+		WarmUpTime:        p.ms("rules.rampTimeMs"),
+		ColdCapacity:      p.num("rules.coldShare", 0),
+		OverloadFactor:    p.num("rules.fallMultiple", 1),
+		OverloadWindow:    p.ms("rules.overloadForMs"),
+		AnswerSlack:       p.ms("rules.answerSlackMs"),
+		CancelAllowed:     p.yes("limits.cancel"),
+		SubscribeRequired: p.vals["registryMode"] == "subscribe",
+		RedialsMarked:     p.yes("clients.marksRetry"),
 	}
 	widths, holds := p.list("extra.widths"), p.list("extra.classHoldMs")
 	for i := range max(0, min(p.whole("classes.count", 0), 1000)) {
 		at := fmt.Sprintf("classes.%d.", i)
-		k := routing.Class{Goal: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
+		k := routing.Class{GoalTime: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
 			Worth: p.num(at+"worth", 1), Width: 1}
 		if i < len(widths) {
 			p.vals[at+"width"] = widths[i]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,7 +20,7 @@
 // instance is one hosted controller and what only the wire knows of it.
 type instance struct {
 	name    string
-	d       routing.Decider
+	d       routing.Policy
 	columns []string
 	advise  bool // callers hear when to dial again
 	classes map[string]int
@@ -31,11 +31,11 @@
 	in    *bufio.Reader
 	out   *bufio.Writer
 	errs  io.Writer
-	make  routing.Maker
+	make  routing.Factory
 	line  int // number of the line being read
 	now   time.Duration
 	insts map[string]*instance
-	lists [16][]routing.Entry
+	lists [16][]routing.ListEntry
 	reply []byte
 	field fields
 	long  []byte
@@ -58,7 +58,7 @@
 
 // Serve hosts instances on the wire until the input ends. An error names the
 // line and field that could not be read; nothing is written for its batch.
-func Serve(in io.Reader, out, errs io.Writer, mk routing.Maker) error {
+func Serve(in io.Reader, out, errs io.Writer, mk routing.Factory) error {
 	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), errs: errs, make: mk,
 		insts: map[string]*instance{}}
 	for {
@@ -197,11 +197,11 @@
 }
 
 var results = map[string]routing.Result{
-	"delivered": routing.Ended, "app_error": routing.Error, "shed": routing.Full, "expired": routing.TimedOut,
-	"dial_failed": routing.NotReached, "dropped": routing.Reset, "revoked": routing.Cancelled, "unused": routing.Unused,
+	"delivered": routing.Ended, "app_error": routing.Failed, "shed": routing.Refused, "expired": routing.TimedOut,
+	"dial_failed": routing.NotReached, "dropped": routing.Reset, "revoked": routing.Cancelled, "unused": routing.NotSent,
 }
 
-var states = map[string]routing.State{"U": routing.Ready, "L": routing.Draining, "D": routing.Gone}
+var states = map[string]routing.State{"U": routing.Ready, "L": routing.Draining, "D": routing.Removed}
 
 // pick takes a word that must be one of a table's keys.
 func pick[T any](f *fields, field string, table map[string]T) (v T, err error) {
@@ -298,7 +298,7 @@
 	if n < 0 {
 		return f.bad("hosts", "a count is wanted")
 	}
-	var entries []routing.Entry // not reused: instances may hold on to the old ones
+	var entries []routing.ListEntry // not reused: instances may hold on to the old ones
 	for range n {
 		line, err := h.next()
 		if err != nil {
@@ -318,7 +318,7 @@
 	return nil
 }
 
-func entry(f *fields) (e routing.Entry, err error) {
+func entry(f *fields) (e routing.ListEntry, err error) {
 	if e.Host, err = f.word("switch"); err != nil {
 		return e, err
 	}
@@ -336,7 +336,7 @@
 	if e.State, err = pick(f, "state", states); err != nil {
 		return e, err
 	}
-	e.Number, err = f.whole("nodeNo", 0)
+	e.Exchange, err = f.whole("nodeNo", 0)
 	return e, err
 }
 
@@ -362,7 +362,7 @@
 		return nil, err
 	}
 	if mode == "Error" {
-		return routing.Listed{Failed: true}, nil
+		return routing.ListUpdated{Failed: true}, nil
 	}
 	if mode != "Partial" && mode != "Complete" && mode != "Persisted" {
 		return nil, f.bad("mode", fmt.Sprintf("%q is not known here", mode))
@@ -370,7 +370,7 @@
 	if slot < 0 || slot >= len(h.lists) {
 		return nil, f.bad("slot", "a number from 0 to 15 is wanted")
 	}
-	return routing.Listed{Full: mode != "Partial", Entries: h.lists[slot]}, nil
+	return routing.ListUpdated{Complete: mode != "Partial", Entries: h.lists[slot]}, nil
 }
 
 const (
@@ -413,12 +413,12 @@
 	if err != nil {
 		return nil, err
 	}
-	e.Redial, e.Transit, e.Cut = marks&markRedial != 0, marks&markTransit != 0, marks&markCut != 0
+	e.Redial, e.Transit, e.AfterCut = marks&markRedial != 0, marks&markTransit != 0, marks&markCut != 0
 	return e, nil
 }
 
 func readStood(_ *host, _ *instance, f *fields) (routing.Event, error) {
-	var e routing.Stood
+	var e routing.Established
 	var err error
 	if e.Call, err = f.word("job"); err != nil {
 		return nil, err
@@ -435,7 +435,7 @@
 }
 
 func readSettled(_ *host, in *instance, f *fields) (routing.Event, error) {
-	var e routing.Settled
+	var e routing.AttemptEnded
 	var err error
 	if e.Call, err = f.word("job"); err != nil {
 		return nil, err
@@ -452,7 +452,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.Over = over == "1"
+	e.CallEnded = over == "1"
 	if e.Host, err = f.opt("switch"); err != nil {
 		return nil, err
 	}
@@ -460,7 +460,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.Cause, e.Wait = cause(code)
+	e.Cause, e.RetryAfter = cause(code)
 	if e.Attempt, err = f.whole("shot", 0); err != nil {
 		return nil, err
 	}
@@ -474,16 +474,16 @@
 	extra := max(code, 0) >> 4
 	switch code & 15 {
 	case 1:
-		return routing.CauseCircuits, 0
+		return routing.CauseNoCircuit, 0
 	case 2:
 		if extra > 0 {
-			return routing.CauseBeyond, 0
+			return routing.CauseDestinationFull, 0
 		}
 		return routing.CauseTurnedBack, 0
 	case 3:
-		return routing.CauseProcessor, time.Duration(extra) * time.Millisecond
+		return routing.CauseProcessorFull, time.Duration(extra) * time.Millisecond
 	case 4:
-		return routing.CauseNumber, 0
+		return routing.CauseNumberBusy, 0
 	}
 	return routing.CauseNone, 0
 }
@@ -494,7 +494,7 @@
 }
 
 func readProbed(_ *host, in *instance, f *fields) (routing.Event, error) {
-	var e routing.Probed
+	var e routing.Reported
 	var err error
 	if e.Host, err = f.word("switch"); err != nil {
 		return nil, err
@@ -513,7 +513,7 @@
 
 func readWoken(_ *host, _ *instance, f *fields) (routing.Event, error) {
 	_, err := f.word("token")
-	return routing.Woken{}, err
+	return routing.TimerFired{}, err
 }
 
 // report reads the values of a load report, in the order of the columns.
@@ -575,7 +575,7 @@
 		h.open("NOT_NOW", in)
 		h.put(a.Call)
 		if in.advise {
-			h.putMs(a.After)
+			h.putMs(a.RetryAfter)
 		} else {
 			h.put("0") // no advice on when to dial again
 		}
@@ -586,7 +586,7 @@
 		h.open("RECALL", in)
 		h.put(a.Call)
 		h.put(strconv.Itoa(a.Attempt))
-	case routing.Wake:
+	case routing.SetTimer:
 		h.open("SCHEDULE", in)
 		h.put("1")
 		h.putMs(a.After)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,7 +24,7 @@
 func serve(t *testing.T, in string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
-	err = Serve(strings.NewReader(in), &b, io.Discard, routing.Make)
+	err = Serve(strings.NewReader(in), &b, io.Discard, routing.NewPolicy)
 	return b.String(), err
 }
 
@@ -133,7 +133,7 @@
 
 func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
-	mk := func(routing.Settings, uint64) (routing.Decider, error) { return broken{}, nil }
+	mk := func(routing.Settings, uint64) (routing.Policy, error) { return broken{}, nil }
 	if err := Serve(strings.NewReader("SYNC 1\n"+launch+lists+"FLUSH\n"), &out, io.Discard, mk); err != nil {
 		t.Fatal(err)
 	}
@@ -154,11 +154,11 @@
 }
 
 func TestEveryActionIsWritten(t *testing.T) {
-	mk := func(routing.Settings, uint64) (routing.Decider, error) {
+	mk := func(routing.Settings, uint64) (routing.Policy, error) {
 		return &recorder{acts: []routing.Action{
 			routing.Send{Call: "c", Host: "h", Timeout: 80 * time.Millisecond}, routing.Refuse{Call: "c"},
 			routing.Fail{Call: "c"}, routing.Cancel{Call: "c", Attempt: 2},
-			routing.Wake{After: time.Second}, routing.Subscribe{}, routing.Log{Text: "two\nlines"},
+			routing.SetTimer{After: time.Second}, routing.Subscribe{}, routing.Log{Text: "two\nlines"},
 		}}, nil
 	}
 	var out bytes.Buffer
@@ -174,8 +174,8 @@
 
 // A refusal says when to dial again only where the settings allow it.
 func TestRefusalsAdvise(t *testing.T) {
-	mk := func(routing.Settings, uint64) (routing.Decider, error) {
-		return &recorder{acts: []routing.Action{routing.Refuse{Call: "c", After: 1500 * time.Millisecond}}}, nil
+	mk := func(routing.Settings, uint64) (routing.Policy, error) {
+		return &recorder{acts: []routing.Action{routing.Refuse{Call: "c", RetryAfter: 1500 * time.Millisecond}}}, nil
 	}
 	for setting, want := range map[string]string{
 		"limits.retryAfter=true": "1500", "limits.retryAfter=false": "0", "": "0",
@@ -196,7 +196,7 @@
 
 func TestEventsAndSettingsAreTranslated(t *testing.T) {
 	var rec recorder
-	mk := func(s routing.Settings, _ uint64) (routing.Decider, error) { rec.s = s; return &rec, nil }
+	mk := func(s routing.Settings, _ uint64) (routing.Policy, error) { rec.s = s; return &rec, nil }
 	in := "SYNC 1\n" + launch +
 		"SETTLED proxy-0 c 5.25 shed 0 h 8003 1 3,20,-1,7.5\n" +
 		"SETTLED proxy-0 c 5 shed 0 h 18 1 -\nSETTLED proxy-0 c 5 app_error 0 h 4 0 -\n" +
@@ -205,24 +205,24 @@
 		t.Fatal(err)
 	}
 	rep := routing.NoReport
-	rep.Free, rep.Size, rep.Rate = 3, 20, 7.5
+	rep.Free, rep.Size, rep.AcceptRate = 3, 20, 7.5
 	want := []routing.Event{
-		routing.Settled{Call: "c", Attempt: 1, Host: "h", Result: routing.Full, Cause: routing.CauseProcessor,
-			Wait: 500 * time.Millisecond, Delay: 5250 * time.Microsecond, Report: rep},
-		routing.Settled{Call: "c", Attempt: 1, Host: "h", Result: routing.Full, Cause: routing.CauseBeyond,
+		routing.AttemptEnded{Call: "c", Attempt: 1, Host: "h", Result: routing.Refused, Cause: routing.CauseProcessorFull,
+			RetryAfter: 500 * time.Millisecond, Delay: 5250 * time.Microsecond, Report: rep},
+		routing.AttemptEnded{Call: "c", Attempt: 1, Host: "h", Result: routing.Refused, Cause: routing.CauseDestinationFull,
 			Delay: 5 * time.Millisecond, Report: routing.NoReport},
-		routing.Settled{Call: "c", Host: "h", Result: routing.Error, Cause: routing.CauseNumber,
+		routing.AttemptEnded{Call: "c", Host: "h", Result: routing.Failed, Cause: routing.CauseNumberBusy,
 			Delay: 5 * time.Millisecond, Report: routing.NoReport},
 		routing.Offered{Call: "c", Class: 1, Number: "ab", Dest: 2, Width: 2, Expires: 10 * time.Millisecond,
-			Transit: true, Redial: true, Cut: true},
-		routing.Listed{Failed: true},
+			Transit: true, Redial: true, AfterCut: true},
+		routing.ListUpdated{Failed: true},
 	}
 	if !reflect.DeepEqual(rec.evs, want) {
 		t.Errorf("events\n%+v, want\n%+v", rec.evs, want)
 	}
 	s := rec.s
-	if s.Fleet != 3 || s.Release != 200*time.Millisecond || s.Classes[1].Width != 2 || s.MaxAttempts != 6 ||
-		s.Classes[1].Hold != 6300*time.Millisecond || s.ColdShare != 0.29 || s.Pools ||
+	if s.FleetSize != 3 || s.ReleaseDelay != 200*time.Millisecond || s.Classes[1].Width != 2 || s.MaxAttempts != 6 ||
+		s.Classes[1].Hold != 6300*time.Millisecond || s.ColdCapacity != 0.29 || s.PoolMode ||
 		!reflect.DeepEqual(s.Classes[0].Pools, []int{0, 4}) || !reflect.DeepEqual(s.Classes[1].Pools, []int{3}) {
 		t.Errorf("settings read as %+v", s)
 	}
--- a/routing/controller.go
+++ b/routing/controller.go
@@ -171,10 +171,10 @@
 	}
 	goal := time.Duration(math.MaxInt64)
 	for i, k := range s.Classes {
-		if k.Goal <= 0 || k.Deadline <= 0 {
+		if k.GoalTime <= 0 || k.Deadline <= 0 {
 			return nil, fmt.Errorf("settings: class %d has no goal time or no deadline", i)
 		}
-		goal = min(goal, k.Goal)
+		goal = min(goal, k.GoalTime)
 	}
 	claims := make([]bool, len(s.Classes))
 	for i, k := range s.Classes {
@@ -183,8 +183,8 @@
 		}
 	}
 	mark := time.Duration(markPerGoal * float64(goal))
-	if s.Resend > 0 {
-		mark = min(mark, s.Resend) // beyond it every waiting set-up is work again
+	if s.ResendInterval > 0 {
+		mark = min(mark, s.ResendInterval) // beyond it every waiting set-up is work again
 	}
 	return &Controller{
 		set:  s,
@@ -207,21 +207,21 @@
 	c.out = c.out[:0]
 	c.lapse()
 	switch e := ev.(type) {
-	case Listed:
+	case ListUpdated:
 		c.listed(e)
 	case Offered:
 		c.offered(e)
-	case Stood:
+	case Established:
 		c.answered(c.calls[e.Call], e.Attempt, e.Delay)
-	case Settled:
+	case AttemptEnded:
 		c.settled(e)
 	case Withdrawn:
 		if k := c.calls[e.Call]; k != nil {
 			c.close(k)
 		}
-	case Probed:
+	case Reported:
 		c.report(c.hosts[e.Host], e.Report)
-	case Planned:
+	case PlanUpdated:
 		c.plan(e)
 	}
 	c.runDue()
@@ -231,11 +231,11 @@
 func (c *Controller) act(a Action) { c.out = append(c.out, a) }
 
 // plan takes weights worked out ahead into force.
-func (c *Controller) plan(e Planned) {
+func (c *Controller) plan(e PlanUpdated) {
 	if e.Version <= c.version {
 		return
 	}
-	c.version, c.until, c.planned = e.Version, e.Until, len(e.Weights)+len(e.Guards) > 0
+	c.version, c.until, c.planned = e.Version, e.ValidUntil, len(e.Weights)+len(e.Guards) > 0
 	c.weights, c.guards = map[int]map[int]float64{}, map[int]float64{}
 	for _, w := range e.Weights {
 		if c.weights[w.Dest] == nil {
@@ -296,7 +296,7 @@
 	c.forget()
 	if next != math.MaxInt64 && (c.wakeAt == 0 || next < c.wakeAt || c.wakeAt <= c.now) {
 		c.wakeAt = max(next, c.now+time.Millisecond)
-		c.act(Wake{c.wakeAt - c.now})
+		c.act(SetTimer{c.wakeAt - c.now})
 	}
 }
 
@@ -315,14 +315,14 @@
 
 // ---- the list
 
-func (c *Controller) listed(e Listed) {
+func (c *Controller) listed(e ListUpdated) {
 	if e.Failed {
-		if c.set.AskForList {
+		if c.set.SubscribeRequired {
 			c.nextUp = c.now + c.goal
 		}
 		return
 	}
-	if c.set.AskForList && len(c.fars) == 0 {
+	if c.set.SubscribeRequired && len(c.fars) == 0 {
 		c.act(Subscribe{})
 	}
 	present := map[string]bool{}
@@ -339,19 +339,19 @@
 		if en.Started > f.started {
 			f.coldLeft, f.coldAt = c.rng.Float64(), c.now // one each would be the fleet at once
 		}
-		f.number, f.state = en.Number, en.State
+		f.number, f.state = en.Exchange, en.State
 		f.started = max(f.started, en.Started)
 		c.groupOf(f.number)
 	}
-	if e.Full {
+	if e.Complete {
 		for _, f := range c.fars {
 			if !present[f.host] {
-				f.state = Gone
+				f.state = Removed
 			}
 		}
 	}
 	c.fars = slices.DeleteFunc(c.fars, func(f *far) bool {
-		left := f.state == Gone && len(f.pending)+len(f.waiting) == 0
+		left := f.state == Removed && len(f.pending)+len(f.waiting) == 0
 		if left {
 			delete(c.hosts, f.host)
 		}
@@ -363,7 +363,7 @@
 	clear(c.byNum)
 	c.due = 0
 	for _, f := range c.fars {
-		if f.state != Ready || !c.set.Pools && f.number == c.set.Here {
+		if f.state != Ready || !c.set.PoolMode && f.number == c.set.OwnExchange {
 			continue
 		}
 		if o := c.byNum[f.number]; o == nil || f.started > o.started {
@@ -403,8 +403,8 @@
 	}
 	// A queue counts set-ups; an exchange does about two for each that it starts.
 	perSec := 2 * max(c.rate.at(c.now), 1)
-	wait := r.Wait > c.mark || r.Queue/perSec > c.mark.Seconds()
-	f.failed = f.failed || wait || r.Util >= 1 || r.HoldBack > 0 // quite busy, or it asks for less
+	wait := r.QueueDelay > c.mark || r.QueueLength/perSec > c.mark.Seconds()
+	f.failed = f.failed || wait || r.Utilization >= 1 || r.Throttle > 0 // quite busy, or it asks for less
 }
 
 // ---- the throttle
@@ -472,8 +472,8 @@
 
 // holdEnd is when a held call is refused: its hold is over or its time nearly up.
 func (c *Controller) holdEnd(k *call) time.Duration {
-	hold := time.Duration(holdPerGoal * float64(c.class(k).Goal))
-	return min(k.arrived+hold, k.expires-c.tick0-c.set.Release)
+	hold := time.Duration(holdPerGoal * float64(c.class(k).GoalTime))
+	return min(k.arrived+hold, k.expires-c.tick0-c.set.ReleaseDelay)
 }
 
 func (c *Controller) class(k *call) Class { return c.set.Classes[k.class] }
@@ -511,14 +511,14 @@
 // that all together do; every kind of send counts.
 func (c *Controller) coldRoom(f *far) bool {
 	age := c.now - f.started
-	if f.started <= 0 || age >= c.set.ColdRamp || c.set.ColdRamp <= 0 {
+	if f.started <= 0 || age >= c.set.WarmUpTime || c.set.WarmUpTime <= 0 {
 		return true
 	}
-	window := c.set.FallWindow.Seconds()
-	warm := c.set.ColdShare + (1-c.set.ColdShare)*float64(max(age, 0))/float64(c.set.ColdRamp)
+	window := c.set.OverloadWindow.Seconds()
+	warm := c.set.ColdCapacity + (1-c.set.ColdCapacity)*float64(max(age, 0))/float64(c.set.WarmUpTime)
 	// A processor does two set-ups for each call that its exchange starts, and is
 	// about full then: see share.
-	perSec := c.set.FallMultiple * warm * c.share(f)
+	perSec := c.set.OverloadFactor * warm * c.share(f)
 	burst := max(1, perSec*window/2)
 	f.coldLeft = min(burst, f.coldLeft+perSec*(c.now-f.coldAt).Seconds())
 	f.coldAt = c.now
@@ -543,7 +543,7 @@
 // this exchange usually want there. A processor starts about as many calls as
 // end at it, so what this exchange starts is the guide to the others.
 func (c *Controller) share(f *far) float64 {
-	fair := max(c.rate.at(c.now), 1) / float64(max(c.set.Fleet, 1))
+	fair := max(c.rate.at(c.now), 1) / float64(max(c.set.FleetSize, 1))
 	return fair + min(c.groupOf(f.number).usual.at(c.now), usualSkew*fair)
 }
 
@@ -576,7 +576,7 @@
 	c.calls[k.id] = k
 	if n := c.numberOf(k); n != nil && !e.Transit {
 		again := e.Redial || !c.set.RedialsMarked && c.now < n.seen+c.class(k).Deadline
-		if again && n.seen > 0 && !e.Cut {
+		if again && n.seen > 0 && !e.AfterCut {
 			k.began = n.began
 		}
 		if k.began == c.now {
@@ -605,7 +605,7 @@
 
 // late says whether a call can't stand within its goal time any more.
 func (c *Controller) late(k *call) bool {
-	return !k.transit && c.now >= k.began+c.class(k).Goal
+	return !k.transit && c.now >= k.began+c.class(k).GoalTime
 }
 
 // place gives an owed call with no attempt out its next step: a send, a place
@@ -623,7 +623,7 @@
 		return
 	}
 	down := k.sends >= c.set.MaxAttempts || c.now >= k.expires-c.set.AnswerSlack ||
-		d == nil && !c.set.Pools || d != nil && d.shut() && !c.mayLoad(d)
+		d == nil && !c.set.PoolMode || d != nil && d.shut() && !c.mayLoad(d)
 	if down || c.late(k) && !c.spare(k, d) {
 		c.refuse(k)
 		return
@@ -633,7 +633,7 @@
 		return
 	}
 	c.claim(k)
-	if t := c.tandem(k); t != nil && (c.set.Pools || !d.shut()) {
+	if t := c.tandem(k); t != nil && (c.set.PoolMode || !d.shut()) {
 		c.load(k, t, d)
 		return
 	}
@@ -649,7 +649,7 @@
 func (c *Controller) claim(k *call) {
 	if c.claims[k.class] && !c.late(k) && len(k.tried) == 0 {
 		g := c.groupOf(k.dest)
-		g.claim, g.claimTill = k.width, c.now+c.class(k).Goal
+		g.claim, g.claimTill = k.width, c.now+c.class(k).GoalTime
 	}
 }
 
@@ -709,7 +709,7 @@
 
 // reserve is the number of circuits of a group that are kept for direct calls.
 func (c *Controller) reserve(n int) int {
-	if c.set.Pools {
+	if c.set.PoolMode {
 		return 0
 	}
 	size := max(c.groupOf(n).size, 0)
@@ -737,7 +737,7 @@
 	for _, f := range c.fars {
 		if c.ways < 1 || c.byNum[f.number] != f || f.number == k.dest || slices.Contains(k.tried, f.number) ||
 			f.shut() || f.pressed || !c.mayLoad(f) || c.now < g.blocks[f.number].until ||
-			c.set.Pools && !slices.Contains(c.class(k).Pools, f.number) ||
+			c.set.PoolMode && !slices.Contains(c.class(k).Pools, f.number) ||
 			!c.room(f.number, k.width, c.reserve(f.number)) {
 			continue
 		}
@@ -773,7 +773,7 @@
 		g.free = max(0, g.free-k.width)
 	}
 	left := k.expires - c.now
-	if goal := k.began + c.class(k).Goal - c.now; !k.transit && goal > 0 {
+	if goal := k.began + c.class(k).GoalTime - c.now; !k.transit && goal > 0 {
 		left = min(left, goal)
 	}
 	k.at, k.sentAt = f, c.now
@@ -834,7 +834,7 @@
 }
 
 // settled takes in how an attempt ended and gives its call the next step.
-func (c *Controller) settled(e Settled) {
+func (c *Controller) settled(e AttemptEnded) {
 	c.report(c.hosts[e.Host], e.Report)
 	k := c.calls[e.Call]
 	if k == nil || k.at == nil || e.Attempt != k.sends-1 {
@@ -843,7 +843,7 @@
 	f := k.at
 	c.unpend(f, k)
 	k.at = nil
-	k.owed = k.owed && !e.Over
+	k.owed = k.owed && !e.CallEnded
 	if !k.stood {
 		c.learn(k, f, e)
 	}
@@ -855,7 +855,7 @@
 }
 
 // learn takes the evidence of an attempt that did not stand.
-func (c *Controller) learn(k *call, f *far, e Settled) {
+func (c *Controller) learn(k *call, f *far, e AttemptEnded) {
 	direct := f.number == k.dest
 	switch e.Result {
 	case TimedOut:
@@ -865,24 +865,24 @@
 		}
 	case NotReached:
 		c.strike(f, c.goal/2)
-	case Full:
+	case Refused:
 		switch e.Cause {
-		case CauseProcessor:
-			c.strike(f, max(c.tick0, min(e.Wait, c.goal)))
-		case CauseBeyond:
+		case CauseProcessorFull:
+			c.strike(f, max(c.tick0, min(e.RetryAfter, c.goal)))
+		case CauseDestinationFull:
 			if d := c.byNum[k.dest]; d != nil {
 				c.strike(d, c.tick0)
 			}
 		default:
 			c.open(f)
 		}
-	case Error:
+	case Failed:
 		c.open(f)
-		if e.Cause == CauseNumber {
+		if e.Cause == CauseNumberBusy {
 			c.busy(k)
 		}
 	}
-	if !direct && e.Result != Ended && e.Result != Error && e.Result != Unused {
+	if !direct && e.Result != Ended && e.Result != Failed && e.Result != NotSent {
 		c.blocked(c.groupOf(k.dest), f.number)
 	}
 }
@@ -925,19 +925,19 @@
 // A fault in signalling says nothing of the next set-up: such a call is tried
 // again on credit. This guards against an exchange that answers a share of its
 // set-ups with faults; it is waste where all fail, up to the attempts allowed.
-func (c *Controller) goOn(k *call, f *far, e Settled) {
+func (c *Controller) goOn(k *call, f *far, e AttemptEnded) {
 	again := !k.transit && !c.late(k) && k.sends < c.set.MaxAttempts
 	switch e.Result {
 	case TimedOut, Reset, Cancelled:
-		if again && c.now+c.set.Release < k.expires-c.tick0 {
-			k.restTill = c.now + c.set.Release
+		if again && c.now+c.set.ReleaseDelay < k.expires-c.tick0 {
+			k.restTill = c.now + c.set.ReleaseDelay
 			c.resting = append(c.resting, k)
 			return
 		}
 	default:
-		fault := e.Result == Error && e.Cause != CauseNumber
-		blocked := e.Cause == CauseCircuits || e.Cause == CauseTurnedBack
-		round := f.number != k.dest && e.Result != Unused && e.Cause != CauseBeyond && e.Cause != CauseNumber
+		fault := e.Result == Failed && e.Cause != CauseNumberBusy
+		blocked := e.Cause == CauseNoCircuit || e.Cause == CauseTurnedBack
+		round := f.number != k.dest && e.Result != NotSent && e.Cause != CauseDestinationFull && e.Cause != CauseNumberBusy
 		if again && (fault || blocked || round) {
 			if !fault || round {
 				k.tried = append(k.tried, f.number)
@@ -946,7 +946,7 @@
 			return
 		}
 	}
-	if e.Result == Full || e.Result == Unused || k.transit {
+	if e.Result == Refused || e.Result == NotSent || k.transit {
 		c.refuse(k)
 		return
 	}
@@ -957,7 +957,7 @@
 // refuse turns a call away for good.
 func (c *Controller) refuse(k *call) {
 	if k.owed {
-		c.act(Refuse{Call: k.id, After: c.comeBack(k)})
+		c.act(Refuse{Call: k.id, RetryAfter: c.comeBack(k)})
 	}
 	c.close(k)
 }
--- a/routing/controller_test.go
+++ b/routing/controller_test.go
@@ -17,13 +17,13 @@
 
 func testSettings() Settings {
 	return Settings{
-		Here: 0, Fleet: 4,
+		OwnExchange: 0, FleetSize: 4,
 		Classes: []Class{
-			{Goal: 1200 * ms, Deadline: 9 * time.Second, Hold: 10 * time.Second, Worth: 1, Width: 1},
-			{Goal: 1600 * ms, Deadline: 9 * time.Second, Hold: 10 * time.Second, Worth: 3, Width: 2},
+			{GoalTime: 1200 * ms, Deadline: 9 * time.Second, Hold: 10 * time.Second, Worth: 1, Width: 1},
+			{GoalTime: 1600 * ms, Deadline: 9 * time.Second, Hold: 10 * time.Second, Worth: 3, Width: 2},
 		},
-		MaxAttempts: 5, Release: 200 * ms, ColdRamp: 15 * time.Second, ColdShare: 0.3,
-		FallMultiple: 2, FallWindow: 2 * time.Second, AnswerSlack: 20 * ms, CancelAllowed: true,
+		MaxAttempts: 5, ReleaseDelay: 200 * ms, WarmUpTime: 15 * time.Second, ColdCapacity: 0.3,
+		OverloadFactor: 2, OverloadWindow: 2 * time.Second, AnswerSlack: 20 * ms, CancelAllowed: true,
 	}
 }
 
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, c: c, now: time.Hour}
-	var l []Entry
+	var l []ListEntry
 	for i := range 4 {
-		l = append(l, Entry{Host: host(i), Number: i})
+		l = append(l, ListEntry{Host: host(i), Exchange: i})
 	}
-	r.do(Listed{Full: true, Entries: l})
+	r.do(ListUpdated{Complete: true, Entries: l})
 	for i := 1; i < 4; i++ {
 		r.circuits(i, 40, 40)
 	}
@@ -59,7 +59,7 @@
 func (r *rig) do(ev Event) []Action {
 	var got []Action
 	for _, a := range r.c.Handle(r.now, ev) {
-		if _, ok := a.(Wake); !ok {
+		if _, ok := a.(SetTimer); !ok {
 			got = append(got, a)
 		}
 	}
@@ -72,7 +72,7 @@
 	var got []Action
 	for end := r.now + d; r.now < end; {
 		r.now += min(5*ms, end-r.now)
-		got = append(got, r.do(Woken{})...)
+		got = append(got, r.do(TimerFired{})...)
 	}
 	return got
 }
@@ -80,7 +80,7 @@
 func (r *rig) circuits(n, free, size int) {
 	rep := NoReport
 	rep.Free, rep.Size = free, size
-	r.do(Probed{Host: host(n), Report: rep})
+	r.do(Reported{Host: host(n), Report: rep})
 }
 
 func (r *rig) offer(id string, dest int) []Action {
@@ -88,7 +88,7 @@
 }
 
 func (r *rig) settle(id string, n, attempt int, res Result, cause Cause) []Action {
-	return r.do(Settled{Call: id, Attempt: attempt, Host: host(n), Result: res, Cause: cause, Report: NoReport,
+	return r.do(AttemptEnded{Call: id, Attempt: attempt, Host: host(n), Result: res, Cause: cause, Report: NoReport,
 		Delay: time.Second})
 }
 
@@ -98,7 +98,7 @@
 		id := fmt.Sprintf("s%d-%d-%d", dest, i, r.now)
 		for _, a := range r.offer(id, dest) {
 			if _, ok := a.(Send); ok {
-				r.do(Stood{Call: id, Delay: 50 * ms})
+				r.do(Established{Call: id, Delay: 50 * ms})
 			}
 		}
 		r.pass(50 * ms)
@@ -147,7 +147,7 @@
 		want  string
 	}{
 		{"no class", func(s *Settings) { s.Classes = nil }, "no class"},
-		{"no goal", func(s *Settings) { s.Classes[1].Goal = 0 }, "class 1"},
+		{"no goal", func(s *Settings) { s.Classes[1].GoalTime = 0 }, "class 1"},
 		{"no attempt", func(s *Settings) { s.MaxAttempts = 0 }, "no attempt"},
 	} {
 		s := testSettings()
@@ -166,15 +166,15 @@
 	if len(first) != 1 || first[0] == "h1" {
 		t.Fatalf("with the direct group full: sent to %v, want one tandem", first)
 	}
-	r.do(Stood{Call: "b", Delay: 50 * ms})
+	r.do(Established{Call: "b", Delay: 50 * ms})
 	for i := range 5 {
 		id := fmt.Sprint("c", i)
 		wantSends(t, "the tandem that worked", r.offer(id, 1), first[0])
-		r.do(Stood{Call: id, Delay: 50 * ms})
+		r.do(Established{Call: id, Delay: 50 * ms})
 	}
 	r.offer("d", 1)
 	n := int(first[0][1] - '0')
-	next := sends(r.settle("d", n, 0, Full, CauseTurnedBack))
+	next := sends(r.settle("d", n, 0, Refused, CauseTurnedBack))
 	if len(next) > 0 && next[0] == first[0] {
 		t.Errorf("after a block the call went to %v again", next)
 	}
@@ -192,7 +192,7 @@
 		as := r.offer(id, 1)
 		out = append(out, as...)
 		if len(sends(as)) > 0 {
-			r.do(Stood{Call: id, Delay: 50 * ms})
+			r.do(Established{Call: id, Delay: 50 * ms})
 		}
 	}
 	if n := len(sends(out)); n != minCap {
@@ -219,25 +219,25 @@
 
 func TestEvidenceFailsTheTick(t *testing.T) {
 	slow := NoReport
-	slow.Wait = time.Second
+	slow.QueueDelay = time.Second
 	busy, asks, calm := NoReport, NoReport, NoReport
-	busy.Util, asks.HoldBack = 1, 0.2
-	calm.Util, calm.HoldBack, calm.Wait = 0.7, 0, 50*ms
+	busy.Utilization, asks.Throttle = 1, 0.2
+	calm.Utilization, calm.Throttle, calm.QueueDelay = 0.7, 0, 50*ms
 	for _, tc := range []struct {
 		name string
 		ev   Event
 		fail bool
 	}{
-		{"a quick answer", Stood{Call: "a", Delay: 50 * ms}, false},
-		{"a slow answer", Stood{Call: "a", Delay: time.Second}, true},
-		{"processor full", Settled{Call: "a", Host: "h1", Result: Full, Cause: CauseProcessor, Report: NoReport}, true},
-		{"a time-out", Settled{Call: "a", Host: "h1", Result: TimedOut, Report: NoReport, Delay: time.Second}, true},
-		{"a report of a long wait", Probed{Host: "h1", Report: slow}, true},
-		{"a report of a busy processor", Probed{Host: "h1", Report: busy}, true},
-		{"a report that asks for less", Probed{Host: "h1", Report: asks}, true},
-		{"a report of a calm processor", Probed{Host: "h1", Report: calm}, false},
-		{"no circuit", Settled{Call: "a", Host: "h1", Result: Unused, Cause: CauseCircuits, Report: NoReport}, false},
-		{"a busy number", Settled{Call: "a", Host: "h1", Result: Error, Cause: CauseNumber, Report: NoReport}, false},
+		{"a quick answer", Established{Call: "a", Delay: 50 * ms}, false},
+		{"a slow answer", Established{Call: "a", Delay: time.Second}, true},
+		{"processor full", AttemptEnded{Call: "a", Host: "h1", Result: Refused, Cause: CauseProcessorFull, Report: NoReport}, true},
+		{"a time-out", AttemptEnded{Call: "a", Host: "h1", Result: TimedOut, Report: NoReport, Delay: time.Second}, true},
+		{"a report of a long wait", Reported{Host: "h1", Report: slow}, true},
+		{"a report of a busy processor", Reported{Host: "h1", Report: busy}, true},
+		{"a report that asks for less", Reported{Host: "h1", Report: asks}, true},
+		{"a report of a calm processor", Reported{Host: "h1", Report: calm}, false},
+		{"no circuit", AttemptEnded{Call: "a", Host: "h1", Result: NotSent, Cause: CauseNoCircuit, Report: NoReport}, false},
+		{"a busy number", AttemptEnded{Call: "a", Host: "h1", Result: Failed, Cause: CauseNumberBusy, Report: NoReport}, false},
 	} {
 		r := newRig(t, testSettings())
 		r.offer("a", 1)
@@ -307,21 +307,21 @@
 
 // Rule 3: from the batch that tells of a drain nothing new goes there.
 func TestDrainIsKept(t *testing.T) {
-	for _, st := range []State{Draining, Gone} {
+	for _, st := range []State{Draining, Removed} {
 		r := newRig(t, testSettings())
 		f := r.c.hosts["h1"]
 		f.credit = 0
 		r.offer("held", 1)
-		as := r.do(Listed{Entries: []Entry{{Host: "h1", Number: 1, State: st}}})
+		as := r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, State: st}}})
 		wantFinals(t, "held for it", as, "held")
 		as = append(r.offer("new", 1), r.pass(time.Second)...)
 		wantSends(t, "later", as)
 		wantFinals(t, "later", as, "new")
 	}
 	r := newRig(t, testSettings())
-	r.do(Listed{Full: true, Entries: []Entry{{Host: "h0", Number: 0}, {Host: "h2", Number: 2}}})
+	r.do(ListUpdated{Complete: true, Entries: []ListEntry{{Host: "h0", Exchange: 0}, {Host: "h2", Exchange: 2}}})
 	wantSends(t, "missing from a full list", r.offer("a", 1))
-	r.do(Listed{Entries: []Entry{{Host: "new", Number: 1}}})
+	r.do(ListUpdated{Entries: []ListEntry{{Host: "new", Exchange: 1}}})
 	wantSends(t, "its successor", r.offer("b", 1), "new")
 }
 
@@ -331,14 +331,14 @@
 	r := newRig(t, testSettings())
 	r.serve(2, 40)
 	perSec := r.c.rate.at(r.now)
-	r.do(Listed{Entries: []Entry{{Host: "h1", Number: 1, Started: r.now}}})
+	r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, Started: r.now}}})
 	n, window := 0, 2*time.Second
 	for i := range 100 {
 		id := fmt.Sprint("c", i)
 		as := r.do(Offered{Call: id, Dest: 1, Width: 1, Transit: i%2 == 0, Expires: r.now + time.Second})
 		for range sends(as) {
 			n++
-			r.do(Stood{Call: id, Delay: 50 * ms})
+			r.do(Established{Call: id, Delay: 50 * ms})
 		}
 		n += len(sends(r.pass(window / 100)))
 	}
@@ -376,7 +376,7 @@
 	as := append(r.offer("t1", 1), r.offer("t2", 1)...)
 	wantSends(t, "two calls", as, "h1")
 	wantFinals(t, "two calls", as, "t2")
-	r.do(Stood{Call: "t1", Delay: 50 * ms})
+	r.do(Established{Call: "t1", Delay: 50 * ms})
 	r.pass(5 * time.Second)
 	as = append(r.offer("u1", 1), r.offer("u2", 1)...)
 	wantSends(t, "after an answer", as, "h1", "h1")
@@ -387,7 +387,7 @@
 	r := newRig(t, testSettings())
 	f := r.c.hosts["h1"]
 	r.do(Offered{Call: "x0", Dest: 1, Width: 1, Number: "hot", Expires: r.now + 3*time.Second})
-	r.settle("x0", 1, 0, Error, CauseNumber)
+	r.settle("x0", 1, 0, Failed, CauseNumberBusy)
 	for i := range 30 {
 		r.do(Offered{Call: fmt.Sprint("x", i+1), Dest: 1, Width: 1, Number: "hot", Expires: r.now + 3*time.Second})
 	}
@@ -395,7 +395,7 @@
 		t.Errorf("credit is %v after a crowd on a busy number, want about %v", f.credit, minCap)
 	}
 	wantSends(t, "an ordinary call", r.offer("a", 1), "h1")
-	r.do(Stood{Call: "a", Delay: 50 * ms})
+	r.do(Established{Call: "a", Delay: 50 * ms})
 	r.pass(10 * time.Second)
 	as := r.do(Offered{Call: "later", Dest: 1, Width: 1, Number: "hot", Expires: r.now + 3*time.Second})
 	wantSends(t, "the number after its gap", as, "h1")
@@ -411,7 +411,7 @@
 		as := r.offer(id, 1)
 		for shot := 0; len(sends(as)) > 0; shot++ {
 			n++
-			as = r.settle(id, int(sends(as)[0][1]-'0'), shot, Full, CauseTurnedBack)
+			as = r.settle(id, int(sends(as)[0][1]-'0'), shot, Refused, CauseTurnedBack)
 		}
 		r.pass(20 * ms)
 	}
@@ -431,7 +431,7 @@
 	for i := range 60 {
 		r.offer(fmt.Sprint("a", i), 1)
 		for len(f.pending) > 0 {
-			r.do(Stood{Call: f.pending[0].id, Delay: 2 * time.Second})
+			r.do(Established{Call: f.pending[0].id, Delay: 2 * time.Second})
 		}
 		r.pass(50 * ms)
 	}
@@ -440,7 +440,7 @@
 	}
 	for len(f.pending)+len(f.waiting) > 0 {
 		for len(f.pending) > 0 {
-			r.do(Stood{Call: f.pending[0].id, Delay: 2 * time.Second})
+			r.do(Established{Call: f.pending[0].id, Delay: 2 * time.Second})
 		}
 		r.pass(50 * ms)
 	}
@@ -484,7 +484,7 @@
 					t.Fatalf("%s: sent before the release", a.Call)
 				case k.shot+1 >= s.MaxAttempts+1:
 					t.Fatalf("%s: attempt %d", a.Call, k.shot+1)
-				case k.transit && a.Host != host(k.dest), a.Host == host(s.Here):
+				case k.transit && a.Host != host(k.dest), a.Host == host(s.OwnExchange):
 					t.Fatalf("%s: sent to %s", a.Call, a.Host)
 				}
 				k.out, k.host = true, a.Host
@@ -504,7 +504,7 @@
 	}
 	for step := range 6000 {
 		r.now += time.Duration(rng.IntN(20)) * ms
-		check(r.do(Woken{}))
+		check(r.do(TimerFired{}))
 		if rng.IntN(2) == 0 {
 			id := fmt.Sprint("c", step)
 			k := &state{dest: 1 + rng.IntN(3), expires: r.now + time.Duration(rng.IntN(3000))*ms, shot: -1, transit: rng.IntN(5) == 0}
@@ -517,12 +517,12 @@
 			n := 1 + rng.IntN(3)
 			st := State(rng.IntN(3))
 			told[host(n)] = st != Ready
-			check(r.do(Listed{Entries: []Entry{{Host: host(n), Number: n, State: st, Started: r.now}}}))
+			check(r.do(ListUpdated{Entries: []ListEntry{{Host: host(n), Exchange: n, State: st, Started: r.now}}}))
 		}
 		if rng.IntN(5) == 0 {
 			rep := NoReport
 			rep.Free, rep.Size = rng.IntN(12), 30
-			check(r.do(Probed{Host: host(1 + rng.IntN(3)), Report: rep}))
+			check(r.do(Reported{Host: host(1 + rng.IntN(3)), Report: rep}))
 		}
 		live := order[:0]
 		for _, id := range order {
@@ -533,17 +533,17 @@
 			if k.out && r.now >= k.ends {
 				k.out = false
 				k.shot++
-				results := []Result{Full, TimedOut, NotReached, Reset, Cancelled, Error, Unused, Ended}
-				e := Settled{Call: id, Attempt: k.shot, Host: k.host, Report: NoReport, Delay: 100 * ms,
+				results := []Result{Refused, TimedOut, NotReached, Reset, Cancelled, Failed, NotSent, Ended}
+				e := AttemptEnded{Call: id, Attempt: k.shot, Host: k.host, Report: NoReport, Delay: 100 * ms,
 					Result: results[rng.IntN(len(results))], Cause: Cause(rng.IntN(6))}
 				if e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
-					k.noSend = r.now + s.Release
+					k.noSend = r.now + s.ReleaseDelay
 				}
 				if e.Result == Ended {
 					if !k.done {
-						check(r.do(Stood{Call: id, Attempt: k.shot, Delay: 100 * ms}))
+						check(r.do(Established{Call: id, Attempt: k.shot, Delay: 100 * ms}))
 					}
-					e.Over, k.done = true, true
+					e.CallEnded, k.done = true, true
 				}
 				check(r.do(e))
 			}
@@ -572,9 +572,9 @@
 func TestOddInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
 	for _, ev := range []Event{
-		Settled{Call: "none", Host: "none"}, Stood{Call: "none"}, Withdrawn{Call: "none"}, Probed{Host: "none"},
-		Listed{Failed: true}, Listed{}, Woken{}, nil, Settled{Host: "h1", Report: NoReport},
-		Listed{Entries: []Entry{{Host: "h9", Number: -5, State: 77}}},
+		AttemptEnded{Call: "none", Host: "none"}, Established{Call: "none"}, Withdrawn{Call: "none"}, Reported{Host: "none"},
+		ListUpdated{Failed: true}, ListUpdated{}, TimerFired{}, nil, AttemptEnded{Host: "h1", Report: NoReport},
+		ListUpdated{Entries: []ListEntry{{Host: "h9", Exchange: -5, State: 77}}},
 	} {
 		r.do(ev)
 	}
@@ -586,7 +586,7 @@
 
 func TestPoolsAreServedByTheSameThrottle(t *testing.T) {
 	s := testSettings()
-	s.Pools, s.Here = true, -1
+	s.PoolMode, s.OwnExchange = true, -1
 	s.Classes[0].Pools = []int{1, 2}
 	r := newRig(t, s)
 	wantSends(t, "first choice", r.offer("a", 1), "h1")
@@ -630,7 +630,7 @@
 		t.Fatalf("%d set-ups out at once to a processor never called before, want a few", n)
 	}
 	for i := range n {
-		r.do(Stood{Call: fmt.Sprint("a", i), Delay: 50 * ms})
+		r.do(Established{Call: fmt.Sprint("a", i), Delay: 50 * ms})
 	}
 	if got := sends(r.pass(r.c.tick0)); len(got) == 0 {
 		t.Error("answered attempts made no room for those that wait")
@@ -654,12 +654,12 @@
 	as := r.offer("a", 1)
 	for shot := range s.MaxAttempts {
 		wantSends(t, fmt.Sprint("attempt ", shot), as, "h1")
-		as = r.settle("a", 1, shot, Error, CauseNone)
+		as = r.settle("a", 1, shot, Failed, CauseNone)
 	}
 	wantSends(t, "when the attempts are used up", as)
 	wantFinals(t, "when the attempts are used up", as, "a")
 	r.offer("b", 2)
-	wantFinals(t, "a busy number", r.settle("b", 2, 0, Error, CauseNumber), "b")
+	wantFinals(t, "a busy number", r.settle("b", 2, 0, Failed, CauseNumberBusy), "b")
 }
 
 // While a processor is pressed, ordinary calls must not fill its window before
@@ -674,8 +674,8 @@
 	wantSends(t, "ordinary calls", as, "h1")
 	dear := r.do(Offered{Call: "d", Class: 1, Dest: 1, Width: 1, Expires: r.now + 3*time.Second})
 	wantSends(t, "a dear call", dear, "h1")
-	r.do(Stood{Call: "a", Delay: 50 * ms})
-	r.do(Stood{Call: "d", Delay: 50 * ms})
+	r.do(Established{Call: "a", Delay: 50 * ms})
+	r.do(Established{Call: "d", Delay: 50 * ms})
 	f.pressed = false
 	wantSends(t, "those that waited, first come first served", r.pass(r.c.tick0), "h1")
 }
@@ -704,7 +704,7 @@
 		wantSends(t, "a first try, few circuits", call(r, "d", "y", false), "h1")
 		r.circuits(1, 30, 40)
 		wantSends(t, "a late redial, many circuits", call(r, "e", "x", true), "h1")
-		r.do(Stood{Call: "e", Delay: 50 * ms})
+		r.do(Established{Call: "e", Delay: 50 * ms})
 		r.circuits(1, 2, 40)
 		wantSends(t, "a new call to the number, after one stood", call(r, "f", "x", false), "h1")
 	}
@@ -719,7 +719,7 @@
 		id := fmt.Sprint("a", i)
 		for range sends(r.offer(id, 1)) {
 			n++
-			r.settle(id, 1, 0, Full, CauseProcessor)
+			r.settle(id, 1, 0, Refused, CauseProcessorFull)
 		}
 		r.pass(20 * ms)
 	}
@@ -728,7 +728,7 @@
 	}
 	r.pass(5 * time.Second)
 	wantSends(t, "a trial", r.offer("b", 1), "h1")
-	r.do(Stood{Call: "b", Delay: 50 * ms})
+	r.do(Established{Call: "b", Delay: 50 * ms})
 	r.pass(time.Second)
 	wantSends(t, "after it stood", append(r.offer("c", 1), r.offer("d", 1)...), "h1", "h1")
 }
@@ -744,7 +744,7 @@
 		r.circuits(n, 1, 40)
 	}
 	wantSends(t, "a narrow call", r.offer("a", 1), "h1")
-	r.do(Stood{Call: "a", Delay: 50 * ms})
+	r.do(Established{Call: "a", Delay: 50 * ms})
 	r.circuits(1, 1, 40)
 	wantFinals(t, "a wide call at one circuit", wide("b"), "b")
 	wantFinals(t, "a narrow call after it", r.offer("c", 1), "c")
@@ -752,10 +752,10 @@
 	r.circuits(1, 2, 40)
 	wantFinals(t, "a narrow call at two circuits", r.offer("d", 1), "d")
 	wantSends(t, "the wide call again", wide("e"), "h1")
-	r.do(Stood{Call: "e", Delay: 50 * ms})
+	r.do(Established{Call: "e", Delay: 50 * ms})
 	r.circuits(1, 1, 40)
 	wantSends(t, "a narrow call, the claim being met", r.offer("f", 1), "h1")
-	r.do(Stood{Call: "f", Delay: 50 * ms})
+	r.do(Established{Call: "f", Delay: 50 * ms})
 	r.circuits(1, 1, 40)
 	wantFinals(t, "a wide call that does not come again", wide("g"), "g")
 	r.pass(1700 * ms)
@@ -770,7 +770,7 @@
 	r.pass(200 * ms)
 	wantSends(t, "second", r.offer("b", 1), "h1")
 	r.pass(100 * ms)
-	as := r.do(Stood{Call: "b", Delay: 100 * ms})
+	as := r.do(Established{Call: "b", Delay: 100 * ms})
 	if want := []Action{Cancel{Call: "lost", Attempt: 0}}; !reflect.DeepEqual(as, want) {
 		t.Fatalf("after it was passed: %v, want %v", as, want)
 	}
@@ -782,7 +782,7 @@
 	r.offer("lost", 1)
 	r.pass(200 * ms)
 	r.offer("b", 1)
-	if as := r.do(Stood{Call: "b", Delay: 50 * ms}); len(as) > 0 {
+	if as := r.do(Established{Call: "b", Delay: 50 * ms}); len(as) > 0 {
 		t.Errorf("cancel is not allowed: %v", as)
 	}
 }
@@ -791,16 +791,16 @@
 func bigRig(t *testing.T, n int, seed ...uint64) *rig {
 	t.Helper()
 	s := testSettings()
-	s.Fleet = n
+	s.FleetSize = n
 	r := newRig(t, s)
 	for _, x := range seed {
 		r.c.rng = rand.New(rand.NewPCG(x, 1))
 	}
-	var l []Entry
+	var l []ListEntry
 	for i := range n {
-		l = append(l, Entry{Host: host(i), Number: i})
+		l = append(l, ListEntry{Host: host(i), Exchange: i})
 	}
-	r.do(Listed{Full: true, Entries: l})
+	r.do(ListUpdated{Complete: true, Entries: l})
 	for i := 1; i < n; i++ {
 		r.circuits(i, 4, 4)
 	}
@@ -823,12 +823,12 @@
 	wantFinals(t, "a large fleet, within the pause", big.offer("b", 1), "b")
 	big.pass(20 * time.Second)
 	wantSends(t, "a large fleet, after the pause", big.offer("c", 1), "h1")
-	big.do(Stood{Call: "c", Delay: big.c.mark + ms})
+	big.do(Established{Call: "c", Delay: big.c.mark + ms})
 	if !big.c.hosts["h1"].shut() {
 		t.Error("a late answer ended the trials")
 	}
 	big.offer("d", 1)
-	big.do(Stood{Call: "d", Delay: 50 * ms})
+	big.do(Established{Call: "d", Delay: 50 * ms})
 	if big.c.hosts["h1"].shut() {
 		t.Error("an answer within the mark did not end the trials")
 	}
@@ -846,7 +846,7 @@
 		var n int
 		fmt.Sscanf(used[shot], "h%d", &n)
 		r.circuits(n, 4, 4)
-		used = append(used, sends(r.settle("a", n, shot, Full, CauseTurnedBack))...)
+		used = append(used, sends(r.settle("a", n, shot, Refused, CauseTurnedBack))...)
 		if len(used) != shot+2 || slices.Contains(used[:shot+1], used[shot+1]) {
 			t.Fatalf("after %d blocks: sent to %v, want another tandem each time", shot+1, used)
 		}
@@ -875,7 +875,7 @@
 		if got := sends(r.offer(id, 1)); len(got) == 1 && got[0] == "h7" {
 			n++
 		}
-		r.do(Stood{Call: id, Delay: 50 * ms})
+		r.do(Established{Call: id, Delay: 50 * ms})
 		r.pass(100 * ms)
 		r.circuits(7, 30, 30)
 	}
@@ -915,8 +915,8 @@
 				if h == "h1" {
 					sent++
 				}
-				r.do(Stood{Call: id, Delay: 50 * ms})
-				r.do(Settled{Call: id, Host: h, Over: true, Result: Ended, Report: NoReport})
+				r.do(Established{Call: id, Delay: 50 * ms})
+				r.do(AttemptEnded{Call: id, Host: h, CallEnded: true, Result: Ended, Report: NoReport})
 			}
 			r.circuits(1, 4, 4)
 			r.pass(d)
@@ -928,13 +928,13 @@
 		step(100*ms, func(i, n int) int { return 2 + (7*i+n)%(fleet-2) }, n)
 	}
 	for _, r := range rigs {
-		r.do(Listed{Entries: []Entry{{Host: "h1", Number: 1, Started: r.now}}})
+		r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, Started: r.now}}})
 	}
 	s := testSettings()
 	perSec := rigs[0].c.rate.at(rigs[0].now)
-	budget := s.FallMultiple * s.ColdShare * 2 * perSec * s.FallWindow.Seconds()
+	budget := s.OverloadFactor * s.ColdCapacity * 2 * perSec * s.OverloadWindow.Seconds()
 	sent := 0
-	for n := range int(s.FallWindow / (100 * ms)) {
+	for n := range int(s.OverloadWindow / (100 * ms)) {
 		// Twice what callers usually want there.
 		sent += step(100*ms, func(i, n int) int {
 			if (i+n)%(fleet/2) == 0 {
@@ -950,23 +950,23 @@
 
 func benchmarkHandle(b *testing.B, n int) {
 	s := testSettings()
-	s.Fleet = n
+	s.FleetSize = n
 	c, err := New(s, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var l []Entry
+	var l []ListEntry
 	for i := range n {
-		l = append(l, Entry{Host: host(i), Number: i})
+		l = append(l, ListEntry{Host: host(i), Exchange: i})
 	}
-	c.Handle(time.Hour, Listed{Full: true, Entries: l})
+	c.Handle(time.Hour, ListUpdated{Complete: true, Entries: l})
 	now := time.Hour
 	for i := 0; b.Loop(); i++ {
 		now += 50 * ms
 		id, h := fmt.Sprint("c", i), host(1+i%(n-1))
 		c.Handle(now, Offered{Call: id, Dest: 1 + i%(n-1), Width: 1, Number: id, Expires: now + 3*time.Second})
-		c.Handle(now+20*ms, Stood{Call: id, Delay: 20 * ms})
-		c.Handle(now+40*ms, Settled{Call: id, Host: h, Over: true, Result: Ended, Report: NoReport})
+		c.Handle(now+20*ms, Established{Call: id, Delay: 20 * ms})
+		c.Handle(now+40*ms, AttemptEnded{Call: id, Host: h, CallEnded: true, Result: Ended, Report: NoReport})
 	}
 }
 
@@ -982,7 +982,7 @@
 	var n int
 	fmt.Sscanf(used[0], "h%d", &n)
 	before := r.c.ways
-	if got := sends(r.settle("a", n, 0, Unused, CauseCircuits)); len(got) != 1 || got[0] == used[0] {
+	if got := sends(r.settle("a", n, 0, NotSent, CauseNoCircuit)); len(got) != 1 || got[0] == used[0] {
 		t.Errorf("after an unsent attempt over %v: sent to %v, want another", used, got)
 	}
 	if r.c.ways != before {
@@ -996,8 +996,8 @@
 	r := newRig(t, s)
 	for _, a := range r.offer("a", 99) {
 		if f, ok := a.(Refuse); ok {
-			if f.After != s.Classes[0].Goal/2 {
-				t.Errorf("come back after %v, want half the goal time", f.After)
+			if f.RetryAfter != s.Classes[0].GoalTime/2 {
+				t.Errorf("come back after %v, want half the goal time", f.RetryAfter)
 			}
 			return
 		}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -10,8 +10,8 @@
 // A proxy makes one controller, tells it what happens and does what it says.
 func Example() {
 	c, err := routing.New(routing.Settings{
-		Here: 0, Fleet: 2, MaxAttempts: 3, Release: 200 * time.Millisecond,
-		Classes: []routing.Class{{Goal: time.Second, Deadline: 5 * time.Second, Worth: 1, Width: 1}},
+		OwnExchange: 0, FleetSize: 2, MaxAttempts: 3, ReleaseDelay: 200 * time.Millisecond,
+		Classes: []routing.Class{{GoalTime: time.Second, Deadline: 5 * time.Second, Worth: 1, Width: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -24,17 +24,17 @@
 				fmt.Println("set up", a.Call, "toward", a.Host)
 			case routing.Refuse:
 				fmt.Println("refuse", a.Call)
-			case routing.Wake:
+			case routing.SetTimer:
 				// start a timer that hands over routing.Woken{} after a.After
 			}
 		}
 	}
 	now := time.Hour
-	tell(now, routing.Listed{Full: true, Entries: []routing.Entry{
-		{Host: "192.0.2.1:5060", Number: 0}, {Host: "192.0.2.2:5060", Number: 1}}})
+	tell(now, routing.ListUpdated{Complete: true, Entries: []routing.ListEntry{
+		{Host: "192.0.2.1:5060", Exchange: 0}, {Host: "192.0.2.2:5060", Exchange: 1}}})
 	tell(now, routing.Offered{Call: "first", Dest: 1, Width: 1, Number: "100", Expires: now + 3*time.Second})
-	tell(now, routing.Listed{Entries: []routing.Entry{
-		{Host: "192.0.2.2:5060", Number: 1, State: routing.Draining}}})
+	tell(now, routing.ListUpdated{Entries: []routing.ListEntry{
+		{Host: "192.0.2.2:5060", Exchange: 1, State: routing.Draining}}})
 	tell(now, routing.Offered{Call: "second", Dest: 1, Width: 1, Number: "101", Expires: now + 3*time.Second})
 	// Output:
 	// set up first toward 192.0.2.2:5060
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -10,28 +10,28 @@
 // Settings is what a controller is told once, at its start. Zero values are
 // legal wherever a deployment has no such fact.
 type Settings struct {
-	Here    int  // number of the own exchange; -1 where the controller fronts pools
-	Fleet   int  // how many controllers the network has, this one included
-	Pools   bool // servers are pools of agents: no own exchange, no transit
-	Classes []Class
-
-	MaxAttempts   int           // sends a call may have in all
-	Release       time.Duration // rest after a time-out, reset or cancel before the next send
-	Resend        time.Duration // a waiting set-up is repeated after this; 0: never
-	ColdRamp      time.Duration // a started processor is warm after this at the latest
-	ColdShare     float64       // share of its capacity that it starts with, at least
-	FallMultiple  float64       // a cold processor falls over above this multiple of its capacity
-	FallWindow    time.Duration // ... held for this long
-	AnswerSlack   time.Duration // a final answer still counts this long after a call's time is up
-	CancelAllowed bool          // Cancel may be used
-	AskForList    bool          // list changes come only after Subscribe
-	RedialsMarked bool          // callers mark their further tries (Offered.Redial)
+	OwnExchange int  // number of the own exchange; -1 where the controller fronts pools
+	FleetSize   int  // how many controllers the network has, this one included
+	PoolMode    bool // servers are pools of agents: no own exchange, no transit
+	Classes     []Class
+
+	MaxAttempts       int           // sends a call may have in all
+	ReleaseDelay      time.Duration // rest after a time-out, reset or cancel before the next send
+	ResendInterval    time.Duration // a waiting set-up is repeated after this; 0: never
+	WarmUpTime        time.Duration // a started processor is warm after this at the latest
+	ColdCapacity      float64       // share of its capacity that it starts with, at least
+	OverloadFactor    float64       // a cold processor falls over above this multiple of its capacity
+	OverloadWindow    time.Duration // ... held for this long
+	AnswerSlack       time.Duration // a final answer still counts this long after a call's time is up
+	CancelAllowed     bool          // Cancel may be used
+	SubscribeRequired bool          // list changes come only after Subscribe
+	RedialsMarked     bool          // callers mark their further tries (Offered.Redial)
 }
 
 // Class is one class of call. A call names its class by its place in
 // Settings.Classes.
 type Class struct {
-	Goal     time.Duration // a call that stands within this earns its full worth
+	GoalTime time.Duration // a call that stands within this earns its full worth
 	Deadline time.Duration // callers go on trying for this long
 	Hold     time.Duration // mean length of a call
 	Worth    float64
@@ -44,68 +44,68 @@
 
 // Offered brings a call that the controller now owes one final answer.
 type Offered struct {
-	Call    string
-	Class   int
-	Number  string // the number called
-	Dest    int    // the exchange (or pool of first choice) it is for
-	Width   int
-	Expires time.Duration // clock time at which the caller gives this try up
-	Transit bool          // passed on by another controller: only its last leg is open
-	Redial  bool          // the caller marked it as a further try
-	Cut     bool          // it stood before, was cut, and comes again
+	Call     string
+	Class    int
+	Number   string // the number called
+	Dest     int    // the exchange (or pool of first choice) it is for
+	Width    int
+	Expires  time.Duration // clock time at which the caller gives this try up
+	Transit  bool          // passed on by another controller: only its last leg is open
+	Redial   bool          // the caller marked it as a further try
+	AfterCut bool          // it stood before, was cut, and comes again
 }
 
-// Stood tells that an attempt is through: nothing is owed for its call.
-type Stood struct {
+// Established tells that an attempt is through: nothing is owed for its call.
+type Established struct {
 	Call    string
 	Attempt int
 	Delay   time.Duration // since the send
 }
 
-// Settled tells how an attempt ended; each Send gets exactly one.
-type Settled struct {
-	Call    string
-	Attempt int
-	Host    string
-	Result  Result
-	Cause   Cause
-	Wait    time.Duration // with CauseProcessor: the wait that the far end names; 0 if none
-	Over    bool          // no final answer is owed any more
-	Delay   time.Duration // since the send
-	Report  Report
+// AttemptEnded tells how an attempt ended; each Send gets exactly one.
+type AttemptEnded struct {
+	Call       string
+	Attempt    int
+	Host       string
+	Result     Result
+	Cause      Cause
+	RetryAfter time.Duration // with CauseProcessor: the wait that the far end names; 0 if none
+	CallEnded  bool          // no final answer is owed any more
+	Delay      time.Duration // since the send
+	Report     Report
 }
 
 // Withdrawn tells that the caller left: nothing is owed any more.
 type Withdrawn struct{ Call string }
 
-// Listed brings the list of exchanges or changes to it.
-type Listed struct {
-	Full    bool // Entries is the whole list: what it lacks has left
-	Failed  bool // the list could not be had; Entries is empty
-	Entries []Entry
+// ListUpdated brings the list of exchanges or changes to it.
+type ListUpdated struct {
+	Complete bool // Entries is the whole list: what it lacks has left
+	Failed   bool // the list could not be had; Entries is empty
+	Entries  []ListEntry
 }
 
-// Entry is one processor on the list.
-type Entry struct {
-	Host    string
-	Number  int           // of its exchange or pool
-	Started time.Duration // clock time of its last start; 0 if long ago
-	State   State
+// ListEntry is one processor on the list.
+type ListEntry struct {
+	Host     string
+	Exchange int           // of its exchange or pool
+	Started  time.Duration // clock time of its last start; 0 if long ago
+	State    State
 }
 
-// Probed brings a report by itself: a trunk group has changed.
-type Probed struct {
+// Reported brings a report by itself: a trunk group has changed.
+type Reported struct {
 	Host   string
 	Report Report
 }
 
-// Planned brings weights worked out ahead. One with no Weights and no Guards ends
+// PlanUpdated brings weights worked out ahead. One with no Weights and no Guards ends
 // what was in force; an event whose Version is not above the last one's is ignored.
-type Planned struct {
-	Version uint64
-	Until   time.Duration // clock time from which it no longer holds
-	Weights []Weight
-	Guards  []Guard
+type PlanUpdated struct {
+	Version    uint64
+	ValidUntil time.Duration // clock time from which it no longer holds
+	Weights    []Weight
+	Guards     []Guard
 }
 
 // Weight is how well a tandem suits calls to a destination, against others for the
@@ -123,31 +123,31 @@
 	Value  float64
 }
 
-// Woken tells that the time asked for by a Wake has come.
-type Woken struct{}
+// TimerFired tells that the time asked for by a Wake has come.
+type TimerFired struct{}
 
-func (Offered) isEvent()   {}
-func (Stood) isEvent()     {}
-func (Settled) isEvent()   {}
-func (Withdrawn) isEvent() {}
-func (Listed) isEvent()    {}
-func (Probed) isEvent()    {}
-func (Planned) isEvent()   {}
-func (Woken) isEvent()     {}
+func (Offered) isEvent()      {}
+func (Established) isEvent()  {}
+func (AttemptEnded) isEvent() {}
+func (Withdrawn) isEvent()    {}
+func (ListUpdated) isEvent()  {}
+func (Reported) isEvent()     {}
+func (PlanUpdated) isEvent()  {}
+func (TimerFired) isEvent()   {}
 
 // Report is what came with an answer: the trunk group's state, true at that
 // time, and figures of the far processor, late. A negative value is unknown.
 type Report struct {
-	Free, Size int           // circuits (or agents) of the group toward the host
-	Wait       time.Duration // the wait at its processor
-	Queue      float64       // set-ups waiting there
-	Util       float64       // share of it that is busy
-	Rate       float64       // new set-ups a second that it takes from all senders
-	HoldBack   float64       // share of set-ups that it asks each sender to hold back
+	Free, Size  int           // circuits (or agents) of the group toward the host
+	QueueDelay  time.Duration // the wait at its processor
+	QueueLength float64       // set-ups waiting there
+	Utilization float64       // share of it that is busy
+	AcceptRate  float64       // new set-ups a second that it takes from all senders
+	Throttle    float64       // share of set-ups that it asks each sender to hold back
 }
 
 // NoReport is a report in which nothing is known.
-var NoReport = Report{Free: -1, Size: -1, Wait: -1, Queue: -1, Util: -1, Rate: -1, HoldBack: -1}
+var NoReport = Report{Free: -1, Size: -1, QueueDelay: -1, QueueLength: -1, Utilization: -1, AcceptRate: -1, Throttle: -1}
 
 // Set fills in a figure by the name that the platform's reports have for it. An
 // unknown name is skipped, and a value below 0 means that it is not known.
@@ -166,15 +166,15 @@
 	case "total":
 		r.Size = int(x)
 	case "mean_ms":
-		r.Wait = time.Duration(x * float64(time.Millisecond))
+		r.QueueDelay = time.Duration(x * float64(time.Millisecond))
 	case "depth":
-		r.Queue = x
+		r.QueueLength = x
 	case "load_share":
-		r.Util = x
+		r.Utilization = x
 	case "allowed":
-		r.Rate = x
+		r.AcceptRate = x
 	case "cut_by":
-		r.HoldBack = x
+		r.Throttle = x
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Result says how an attempt ended.
@@ -195,13 +195,13 @@
 // The results of an attempt.
 const (
 	Ended      Result = iota // the call stood and has ended
-	Error                    // a fault, or no line of the number was free
-	Full                     // turned away or turned back; see Cause
+	Failed                   // a fault, or no line of the number was free
+	Refused                  // turned away or turned back; see Cause
 	TimedOut                 // no answer in time
 	NotReached               // no connection: never seen by the far end
 	Reset                    // the set-up or the standing call was cut
 	Cancelled                // called off
-	Unused                   // not sent at all
+	NotSent                  // not sent at all
 )
 
 // Cause narrows a Result.
@@ -209,25 +209,25 @@
 
 // The causes that come with a result.
 const (
-	CauseNone       Cause = iota
-	CauseCircuits         // no circuit or agent was free
-	CauseTurnedBack       // the tandem turned the call back
-	CauseProcessor        // processor full; with Unused, the own one is down
-	CauseNumber           // every line of the number is busy
-	CauseBeyond           // turned back since the destination's processor was full
+	CauseNone            Cause = iota
+	CauseNoCircuit             // no circuit or agent was free
+	CauseTurnedBack            // the tandem turned the call back
+	CauseProcessorFull         // processor full; with Unused, the own one is down
+	CauseNumberBusy            // every line of the number is busy
+	CauseDestinationFull       // turned back since the destination's processor was full
 )
 
-// Decider is what decides for one exchange: a Controller, or another to compare it
+// Policy is what decides for one exchange: a Controller, or another to compare it
 // with. Handle's slice is valid until its next call.
-type Decider interface {
+type Policy interface {
 	Handle(now time.Duration, ev Event) []Action
 }
 
-// Maker makes the decider of an exchange that starts.
-type Maker func(s Settings, seed uint64) (Decider, error)
+// Factory makes the decider of an exchange that starts.
+type Factory func(s Settings, seed uint64) (Policy, error)
 
-// Make is the Maker of Controllers.
-func Make(s Settings, seed uint64) (Decider, error) {
+// NewPolicy is the Maker of Controllers.
+func NewPolicy(s Settings, seed uint64) (Policy, error) {
 	c, err := New(s, seed)
 	if err != nil {
 		return nil, err
@@ -249,8 +249,8 @@
 // Refuse is the final answer "turned away". A caller that comes back after the
 // time given finds what it was refused for tried again.
 type Refuse struct {
-	Call  string
-	After time.Duration
+	Call       string
+	RetryAfter time.Duration
 }
 
 // Fail is the final answer "failed".
@@ -262,8 +262,8 @@
 	Attempt int
 }
 
-// Wake asks for a Woken after the given time.
-type Wake struct{ After time.Duration }
+// SetTimer asks for a Woken after the given time.
+type SetTimer struct{ After time.Duration }
 
 // Subscribe asks for the list and its changes.
 type Subscribe struct{}
@@ -275,6 +275,6 @@
 func (Refuse) isAction()    {}
 func (Fail) isAction()      {}
 func (Cancel) isAction()    {}
-func (Wake) isAction()      {}
+func (SetTimer) isAction()  {}
 func (Subscribe) isAction() {}
 func (Log) isAction()       {}
