--- a/decide/plan/apply.go
+++ b/decide/plan/apply.go
@@ -1,11 +1,11 @@
 package plan
 
-// Carry is the worth a second that an answer's routes would earn under a problem's
+// CarriedWorth is the worth a second that an answer's routes would earn under a problem's
 // demand: each demand is spread in the answer's shares, and where a group or processor
 // would be beyond its capacity, all that crosses it is cut in proportion. What the
 // answer's own problem did not have, or what the present one lacks, earns nothing.
 // It compares an old plan with a new one on equal terms.
-func Carry(p *Problem, a *Answer) float64 {
+func CarriedWorth(p *Problem, a *Answer) float64 {
 	m := newModel(p, false)
 	shares := map[Demand]map[string]float64{} // by class and ends; "" is direct
 	key := func(d Demand) Demand { return Demand{Class: d.Class, From: d.From, To: d.To, Tenant: d.Tenant} }
--- a/decide/plan/brute_test.go
+++ b/decide/plan/brute_test.go
@@ -368,7 +368,7 @@
 		return true, 0, err
 	}
 	if a.Stages != 3 {
-		return true, 0, fmt.Errorf("only %d stages: %v", a.Stages, a.Rest)
+		return true, 0, fmt.Errorf("only %d stages: %v", a.Stages, a.StageErr)
 	}
 	off = max(math.Abs(a.Worth-float(e.best))/(1+math.Abs(float(e.best))), math.Abs(a.Cost-float(e.low))/(1+float(e.low)))
 	if off > 1e-6 {
--- a/decide/plan/erlang.go
+++ b/decide/plan/erlang.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Part is the part of a group's load that calls of one width make.
-type Part struct {
+// TrafficStream is the part of a group's load that calls of one width make.
+type TrafficStream struct {
 	Width int
 	Load  float64 // erlangs of circuits: calls/s times hold times width
 }
@@ -30,7 +30,7 @@
 // KaufmanRoberts returns for each part the share of its calls that find fewer
 // circuits free, of n, than they are wide. Loads are offered at random and each
 // class takes any circuits (complete sharing); holding times may have any law.
-func KaufmanRoberts(n int, parts []Part) []float64 {
+func KaufmanRoberts(n int, parts []TrafficStream) []float64 {
 	q := make([]float64, n+1) // relative likelihood of each number of busy circuits
 	q[0] = 1
 	sum := 1.0
@@ -66,7 +66,7 @@
 // target. The mix's loads count only against each other. A group just wide enough
 // for one more class counts as the smaller group that is not, where that carries
 // more: a circuit more is never worth less.
-func capacity(n int, mix []Part, target float64) float64 {
+func capacity(n int, mix []TrafficStream, target float64) float64 {
 	if n <= 0 {
 		return 0
 	}
@@ -86,8 +86,8 @@
 	return most
 }
 
-func carries(n int, mix []Part, target float64) float64 {
-	var fits []Part
+func carries(n int, mix []TrafficStream, target float64) float64 {
+	var fits []TrafficStream
 	total := 0.0
 	for _, p := range mix {
 		if p.Width <= n && p.Load > 0 {
@@ -96,15 +96,15 @@
 		}
 	}
 	if total <= 0 {
-		fits, total = []Part{{1, 1}}, 1
+		fits, total = []TrafficStream{{1, 1}}, 1
 	}
-	slices.SortStableFunc(fits, func(a, b Part) int { return b.Width - a.Width }) // the widest first
-	scaled := make([]Part, len(fits))
+	slices.SortStableFunc(fits, func(a, b TrafficStream) int { return b.Width - a.Width }) // the widest first
+	scaled := make([]TrafficStream, len(fits))
 	low, high := 0.0, float64(n)
 	for range 48 {
 		load := (low + high) / 2
 		for i, p := range fits {
-			scaled[i] = Part{p.Width, p.Load / total * load}
+			scaled[i] = TrafficStream{p.Width, p.Load / total * load}
 		}
 		if KaufmanRoberts(n, scaled)[0] > target {
 			high = load
@@ -116,7 +116,7 @@
 }
 
 // circuitsFor returns the least number of circuits that may carry a load.
-func circuitsFor(load float64, mix []Part, target float64) int {
+func circuitsFor(load float64, mix []TrafficStream, target float64) int {
 	n := int(math.Ceil(load - 1e-9))
 	step := 1
 	for n <= MaxCircuits && capacity(n, mix, target) < load-1e-9 {
--- a/decide/plan/model.go
+++ b/decide/plan/model.go
@@ -20,7 +20,7 @@
 	group    int // or -1
 	sw       int // or -1
 	capacity float64
-	mix      []Part // of a group
+	mix      []TrafficStream // of a group
 }
 
 // quota is a tenant's share at one switch.
@@ -123,7 +123,7 @@
 
 // mixes is the planned mix of classes of each group: that of the direct demand
 // between its ends, or of all demand where there is none.
-func (m *model) mixes() [][]Part {
+func (m *model) mixes() [][]TrafficStream {
 	load := make([][]float64, len(m.Groups))
 	all := make([]float64, len(m.Classes))
 	for _, d := range m.Demands {
@@ -138,13 +138,13 @@
 			load[g][k] += e
 		}
 	}
-	out := make([][]Part, len(m.Groups))
+	out := make([][]TrafficStream, len(m.Groups))
 	for g := range out {
 		if load[g] == nil {
 			load[g] = all
 		}
 		for k, e := range load[g] {
-			out[g] = append(out[g], Part{m.Classes[k].Width, e})
+			out[g] = append(out[g], TrafficStream{m.Classes[k].Width, e})
 		}
 	}
 	return out
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -18,14 +18,14 @@
 	"slices"
 )
 
-// Bounds of a problem. A figure is finite, at least 0 and at most MaxFigure.
+// Bounds of a problem. A figure is finite, at least 0 and at most MaxValue.
 const (
 	MaxSwitches = 128
 	MaxClasses  = 16
 	MaxTenants  = 64
 	MaxDemands  = 1 << 16
 	MaxCircuits = 1_000_000
-	MaxFigure   = 1e9
+	MaxValue    = 1e9
 )
 
 // beyondShare is what worth beyond a tenant's share counts.
@@ -38,7 +38,7 @@
 const (
 	Up Phase = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Class is a class of call.
@@ -101,25 +101,25 @@
 
 // FieldError is a figure or name that a problem may not have.
 type FieldError struct {
-	List  string // "classes", "switches", "groups", "demands", "tenants", "costs" or "target"
-	Index int    // place in that list, from 0
-	Key   string
-	Why   string
+	List   string // "classes", "switches", "groups", "demands", "tenants", "costs" or "target"
+	Index  int    // place in that list, from 0
+	Key    string
+	Reason string
 }
 
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("plan: %s[%d]: key %s: %s", e.List, e.Index, e.Key, e.Why)
+	return fmt.Sprintf("plan: %s[%d]: key %s: %s", e.List, e.Index, e.Key, e.Reason)
 }
 
 // Errors that callers tell apart.
 var (
-	ErrStopped  = errors.New("plan: stopped before an answer was found")
-	ErrUnproven = errors.New("plan: the answer failed its verification")
+	ErrStopped    = errors.New("plan: stopped before an answer was found")
+	ErrUnverified = errors.New("plan: the answer failed its verification")
 )
 
 func figure(list string, i int, key string, v float64) error {
-	if math.IsNaN(v) || v < 0 || v > MaxFigure {
-		return &FieldError{list, i, key, fmt.Sprintf("%v is not a figure from 0 to %g", v, float64(MaxFigure))}
+	if math.IsNaN(v) || v < 0 || v > MaxValue {
+		return &FieldError{list, i, key, fmt.Sprintf("%v is not a figure from 0 to %g", v, float64(MaxValue))}
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 	for i, s := range p.Switches {
 		named("switches", i, s.ID, switches)
 		fig("switches", i, "set_ups_per_second", s.SetUps)
-		if s.Phase > Gone {
+		if s.Phase > Removed {
 			add("switches", i, "status", "%d is no phase", s.Phase)
 		}
 	}
@@ -304,5 +304,5 @@
 	Roughness float64   // sum of squared use of groups and processors, weighted by size; see docs/plan.md
 	Steps     int       // of the solver, all objectives
 	Stages    int       // objectives that were carried out, of 3; the last holds evenness and canon
-	Rest      error     `json:"-"` // why the further ones were not, if Stages is below 3
+	StageErr  error     `json:"-"` // why the further ones were not, if Stages is below 3
 }
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -205,7 +205,7 @@
 		q := *p
 		q.Groups, q.Switches = slices.Clone(p.Groups), slices.Clone(p.Switches)
 		more := map[pair]Addition{}
-		for _, add := range no.Enlarge {
+		for _, add := range no.Additions {
 			more[pairOf(add.A, add.B)] = add
 		}
 		for i, g := range q.Groups {
@@ -215,7 +215,7 @@
 			q.Switches[i].SetUps += more[pairOf(s.ID, "")].SetUps
 		}
 		if _, err := Solve(&q, Options{}); err != nil {
-			t.Fatalf("problem %d: enlarged by %+v: %v", k, no.Enlarge, err)
+			t.Fatalf("problem %d: enlarged by %+v: %v", k, no.Additions, err)
 		}
 	}
 	t.Logf("%d conflicts, %d without a route; by size %v", seen, noRoute, sizes)
@@ -290,11 +290,11 @@
 		{"no demand", "", func(p *Problem) { p.Demands = nil }},
 		{"demand of 0", "", func(p *Problem) { p.Demands[0].Rate = 0 }},
 		{"worth of 0", "", func(p *Problem) { p.Classes[0].Worth = 0 }},
-		{"huge demand", "", func(p *Problem) { p.Demands[0].Rate = MaxFigure }},
+		{"huge demand", "", func(p *Problem) { p.Demands[0].Rate = MaxValue }},
 		{"tiny demand", "", func(p *Problem) { p.Demands[0].Rate = 1e-9 }},
 		{"a huge group", "", func(p *Problem) { p.Groups[0].Circuits = MaxCircuits }},
-		{"a switch that left", "", func(p *Problem) { p.Switches[1].Phase = Gone }},
-		{"a must to a switch that left", "contradict", func(p *Problem) { p.Switches[1].Phase = Gone; p.Demands[0].Must = p.Demands[0].Rate }},
+		{"a switch that left", "", func(p *Problem) { p.Switches[1].Phase = Removed }},
+		{"a must to a switch that left", "contradict", func(p *Problem) { p.Switches[1].Phase = Removed; p.Demands[0].Must = p.Demands[0].Rate }},
 		{"a pair without a route", "no demand", func(p *Problem) { p.Groups = nil; p.Demands[0].Must = 0.1 }},
 		{"not a number", "demands[2]: key calls_per_second: NaN", func(p *Problem) { p.Demands[2].Rate = math.NaN() }},
 		{"negative", "demands[2]: key calls_per_second: -1", func(p *Problem) { p.Demands[2].Rate = -1 }},
@@ -352,7 +352,7 @@
 		got := ErlangB(c.n, c.load)
 		kr := got
 		if c.n > 0 {
-			kr = KaufmanRoberts(c.n, []Part{{1, c.load}})[0]
+			kr = KaufmanRoberts(c.n, []TrafficStream{{1, c.load}})[0]
 		}
 		if math.Abs(got-c.want) > 2e-6 || math.Abs(kr-got) > 1e-12 {
 			t.Errorf("%d circuits, %v erlangs: %v and %v, want %v", c.n, c.load, got, kr, c.want)
@@ -360,11 +360,11 @@
 	}
 	// Two classes on 2 circuits, worked out by hand: states (0,0) 1, (1,0) 1, (2,0)
 	// 1/2, (0,1) 1/2 with one call of each class offered.
-	b := KaufmanRoberts(2, []Part{{1, 1}, {2, 2}})
+	b := KaufmanRoberts(2, []TrafficStream{{1, 1}, {2, 2}})
 	if math.Abs(b[0]-1.5/3.5) > 1e-12 || math.Abs(b[1]-2.5/3.5) > 1e-12 {
 		t.Error(b)
 	}
-	mix := []Part{{1, 3}, {4, 2}}
+	mix := []TrafficStream{{1, 3}, {4, 2}}
 	last := 0.0
 	for n := 1; n <= 10_000; n = n*5/4 + 1 {
 		c := capacity(n, mix, 0.05)
--- a/decide/plan/solve.go
+++ b/decide/plan/solve.go
@@ -66,8 +66,8 @@
 		return nil, err
 	}
 	// The further objectives may fail on rounding; the plan before then stands.
-	if a.Rest = l.refine(p, a, first, o); errors.Is(a.Rest, ErrStopped) {
-		return nil, a.Rest
+	if a.StageErr = l.refine(p, a, first, o); errors.Is(a.StageErr, ErrStopped) {
+		return nil, a.StageErr
 	}
 	return a, nil
 }
@@ -122,7 +122,7 @@
 func (a *Answer) prove(p *Problem, o Options) error {
 	proof, err := Verify(p, a, o.gap())
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnproven, err)
+		return fmt.Errorf("%w: %w", ErrUnverified, err)
 	}
 	a.Worth, a.Bound, a.Gap = proof.Worth, proof.Bound, proof.Gap
 	return nil
@@ -352,13 +352,13 @@
 	return s, pt.steps, nil
 }
 
-// Member is one demand or capacity of a conflict.
-type Member struct {
+// Constraint is one demand or capacity of a conflict.
+type Constraint struct {
 	Demand *Demand // or nil
 	A, B   string  // a group's ends; B is "" for a switch
 }
 
-func (c Member) String() string {
+func (c Constraint) String() string {
 	switch {
 	case c.Demand != nil:
 		return fmt.Sprintf("demand %s %s to %s must carry %g calls/s", c.Demand.Class, c.Demand.From, c.Demand.To, c.Demand.Must)
@@ -380,12 +380,12 @@
 type Infeasible struct {
 	// Conflict is a minimal set of demands and capacities that contradict each
 	// other: without any one of them the rest fit.
-	Conflict []Member
-	// Enlarge is the cheapest addition with which all musts fit, rounded up to
+	Conflict []Constraint
+	// Additions is the cheapest addition with which all musts fit, rounded up to
 	// whole circuits; empty with NoRoute.
-	Enlarge []Addition
-	Cost    float64
-	NoRoute bool // the one demand of Conflict has no path, whatever is added to the groups
+	Additions []Addition
+	Cost      float64
+	NoRoute   bool // the one demand of Conflict has no path, whatever is added to the groups
 }
 
 func (e *Infeasible) Error() string {
@@ -456,7 +456,7 @@
 	for i := range m.Demands {
 		if inDem[i] {
 			d := m.Demands[i]
-			e.Conflict = append(e.Conflict, Member{Demand: &d})
+			e.Conflict = append(e.Conflict, Constraint{Demand: &d})
 		}
 	}
 	for r, res := range m.res {
@@ -464,9 +464,9 @@
 			continue
 		}
 		if res.group >= 0 {
-			e.Conflict = append(e.Conflict, Member{A: m.Groups[res.group].A, B: m.Groups[res.group].B})
+			e.Conflict = append(e.Conflict, Constraint{A: m.Groups[res.group].A, B: m.Groups[res.group].B})
 		} else {
-			e.Conflict = append(e.Conflict, Member{A: m.Switches[res.sw].ID})
+			e.Conflict = append(e.Conflict, Constraint{A: m.Switches[res.sw].ID})
 		}
 	}
 	if err := e.enlarge(p, o); err != nil {
@@ -541,7 +541,7 @@
 	if ok, err := fit(); err != nil {
 		return err
 	} else if !ok {
-		return fmt.Errorf("%w: the enlargement does not fit", ErrUnproven)
+		return fmt.Errorf("%w: the enlargement does not fit", ErrUnverified)
 	}
 	// Rounding up may have bought a circuit that another one makes needless.
 	for r := range m.res {
@@ -567,7 +567,7 @@
 		}
 		b.Cost = m.priceOf(r) * (float64(b.Circuits) + b.SetUps)
 		e.Cost += b.Cost
-		e.Enlarge = append(e.Enlarge, b)
+		e.Additions = append(e.Additions, b)
 	}
 	if math.IsNaN(e.Cost) {
 		return errNumeric
--- a/decide/plan/verify.go
+++ b/decide/plan/verify.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Proof is what the verifier found.
-type Proof struct {
+// Verification is what the verifier found.
+type Verification struct {
 	Worth float64 // of the answer, added up anew
 	Bound float64 // that no plan exceeds, from the answer's prices alone
 	Gap   float64 // (Bound - Worth) / Bound
@@ -27,7 +27,7 @@
 // The bound holds for any prices that are not negative (weak duality): a plan
 // earns for each call its worth less the price of what it uses, plus that price;
 // the first is at most the best path's, the second at most price times capacity.
-func Verify(p *Problem, a *Answer, gap float64) (*Proof, error) {
+func Verify(p *Problem, a *Answer, gap float64) (*Verification, error) {
 	v := &verifier{p: p, classes: map[string]Class{}, switches: map[string]Switch{}, groups: map[pair]Group{},
 		loads: map[pair]float64{}, caps: map[pair]float64{}, prices: map[pair]float64{}, quota: map[[2]string]*share{}}
 	for _, c := range p.Classes {
@@ -55,7 +55,7 @@
 			return nil, fmt.Errorf("%s is planned to carry %g of %g", k, load, v.caps[k])
 		}
 	}
-	proof := &Proof{Worth: v.worth, Bound: v.bound(a)}
+	proof := &Verification{Worth: v.worth, Bound: v.bound(a)}
 	for _, t := range a.Tenants {
 		if q := v.quota[[2]string{t.Tenant, t.Switch}]; q != nil {
 			proof.Worth -= (1 - beyondShare) * max(0, q.carried-q.amount)
@@ -86,8 +86,8 @@
 	caps     map[pair]float64
 	prices   map[pair]float64
 	quota    map[[2]string]*share
-	mix      map[pair][]Part
-	all      []Part
+	mix      map[pair][]TrafficStream
+	all      []TrafficStream
 	worth    float64
 }
 
@@ -159,11 +159,11 @@
 
 // mix is the planned mix of classes of a group: the pair's own, or all demand's.
 func (v *verifier) mixes(a *Answer) {
-	v.mix = map[pair][]Part{}
+	v.mix = map[pair][]TrafficStream{}
 	for _, r := range a.Routes {
 		c := v.classes[r.Class]
 		k := pairOf(r.From, r.To)
-		e := Part{c.Width, r.Rate * c.Hold * float64(c.Width)}
+		e := TrafficStream{c.Width, r.Rate * c.Hold * float64(c.Width)}
 		v.mix[k] = append(v.mix[k], e)
 		v.all = append(v.all, e)
 	}
@@ -175,7 +175,7 @@
 	if !own {
 		mix = v.all
 	}
-	var parts []Part
+	var parts []TrafficStream
 	sum, widest := 0.0, 0
 	for _, p := range mix {
 		if p.Load > 0 && p.Width <= circuits {
@@ -183,7 +183,7 @@
 		}
 	}
 	if sum == 0 {
-		parts, sum = []Part{{1, 1}}, 1
+		parts, sum = []TrafficStream{{1, 1}}, 1
 	}
 	for i := range parts {
 		parts[i].Load *= load / sum
--- a/decide/plan/weights.go
+++ b/decide/plan/weights.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Way is how well a tandem suits the calls between two switches.
-type Way struct {
+// TandemWeight is how well a tandem suits the calls between two switches.
+type TandemWeight struct {
 	From, To, Tandem string
 	Weight           float64 // those of one From and To add up to 1
 }
 
-// Guard is what a circuit of a group is worth to the calls that the plan sends over
+// CircuitValue is what a circuit of a group is worth to the calls that the plan sends over
 // it, against the most that one could earn: 0 to 1.
-type Guard struct {
+type CircuitValue struct {
 	A, B  string
 	Value float64
 }
@@ -20,12 +20,12 @@
 // that are blocked by chance, or by a drift it doesn't know, need room.
 const spareShare = 1.0
 
-// Weights reads off an answer, for each ordered pair of switches, how the calls that
+// TandemWeights reads off an answer, for each ordered pair of switches, how the calls that
 // find their direct group full are best spread: by what the plan sends over each
 // tandem, in erlangs, and by the room that is left on the second leg and at the
 // tandem's processor. The first leg's room is left out, since the exchange that uses
 // the weights knows it better. Ways without either are left out.
-func (a *Answer) Weights(p *Problem) []Way {
+func (a *Answer) TandemWeights(p *Problem) []TandemWeight {
 	classes := map[string]Class{}
 	for _, c := range p.Classes {
 		classes[c.ID] = c
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	var out []Way
+	var out []TandemWeight
 	for _, from := range a.Switches {
 		for _, to := range a.Switches {
 			first, sum := len(out), 0.0
@@ -65,7 +65,7 @@
 				room := max(0, second.Capacity-second.Load) * max(0, 1-proc.Load/proc.Capacity)
 				w := sent[[3]string{from.A, to.A, t}] + spareShare*room
 				if w > 1e-6 {
-					out = append(out, Way{from.A, to.A, t, w})
+					out = append(out, TandemWeight{from.A, to.A, t, w})
 					sum += w
 				}
 			}
@@ -77,16 +77,16 @@
 	return out
 }
 
-// Guards reads off an answer how dear each group's circuits are.
-func (a *Answer) Guards(p *Problem) []Guard {
+// CircuitValues reads off an answer how dear each group's circuits are.
+func (a *Answer) CircuitValues(p *Problem) []CircuitValue {
 	most := 0.0
 	for _, c := range p.Classes {
 		most = max(most, c.Worth/c.Hold/float64(c.Width))
 	}
-	var out []Guard
+	var out []CircuitValue
 	for _, g := range a.Groups {
 		if most > 0 {
-			out = append(out, Guard{g.A, g.B, math.Min(1, g.Price/most)})
+			out = append(out, CircuitValue{g.A, g.B, math.Min(1, g.Price/most)})
 		}
 	}
 	return out
--- a/decide/replan/replan.go
+++ b/decide/replan/replan.go
@@ -207,7 +207,7 @@
 		if tenants[f] > 0 {
 			share = d.Rate / tenants[f]
 		}
-		q.Demands[i].Rate = min(seen[f]*share, plan.MaxFigure)
+		q.Demands[i].Rate = min(seen[f]*share, plan.MaxValue)
 		q.Demands[i].Must = min(d.Must, q.Demands[i].Rate)
 	}
 	known := map[string]bool{}
@@ -240,7 +240,7 @@
 	}
 	old := 0.0
 	if p.force != nil {
-		old = plan.Carry(problem, p.force)
+		old = plan.CarriedWorth(problem, p.force)
 	}
 	n := Note{Text: "plan kept", Old: old, New: a.Worth}
 	switch {
--- a/decide/replan/replan_test.go
+++ b/decide/replan/replan_test.go
@@ -183,7 +183,7 @@
 	b := start(t)
 	b.calls(0, 60*sec, 3)
 	b.do(b.p.Tick(20 * sec))
-	b.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnproven })
+	b.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnverified })
 	b.want("solve", "no new plan")
 	b.do(b.p.Tick(32 * sec))
 	b.do(b.p.Inventory(33*sec, mesh(25))) // while it is on its way
--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -16,15 +16,15 @@
 	size place   // of its circuits
 }
 
-// number reads a figure from 0 to plan.MaxFigure; a missing one is def.
+// number reads a figure from 0 to plan.MaxValue; a missing one is def.
 func (r *reader) number(e entry, key string, def float64) float64 {
 	text, line := e.at(key)
 	if text == "" {
 		return def
 	}
 	x, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(x) || x < 0 || x > plan.MaxFigure {
-		r.note(line, key, fmt.Sprintf("%q is not a number from 0 to %g", text, float64(plan.MaxFigure)))
+	if err != nil || math.IsNaN(x) || x < 0 || x > plan.MaxValue {
+		r.note(line, key, fmt.Sprintf("%q is not a number from 0 to %g", text, float64(plan.MaxValue)))
 		return def
 	}
 	return x
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -155,12 +155,12 @@
 	for x := range events {
 		events[x] = brain.Planned{Version: 1, Until: 2 * time.Hour}
 	}
-	for _, w := range a.Weights(p) {
+	for _, w := range a.TandemWeights(p) {
 		e := &events[number[w.From]]
 		e.Weights = append(e.Weights, brain.Weight{Dest: number[w.To], Tandem: number[w.Tandem], Weight: w.Weight})
 	}
 	if guards {
-		for _, g := range a.Guards(p) {
+		for _, g := range a.CircuitValues(p) {
 			x, y := number[g.A], number[g.B]
 			events[x].Guards = append(events[x].Guards, brain.Guard{Toward: y, Value: g.Value})
 			events[y].Guards = append(events[y].Guards, brain.Guard{Toward: x, Value: g.Value})
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	got := blocking(t, lossy(30, []Class{class(1), class(4)}, []float64{12, 3}), 40)
-	for k, want := range plan.KaufmanRoberts(30, []plan.Part{{Width: 1, Load: 12}, {Width: 4, Load: 12}}) {
+	for k, want := range plan.KaufmanRoberts(30, []plan.TrafficStream{{Width: 1, Load: 12}, {Width: 4, Load: 12}}) {
 		if math.Abs(got[k]-want) > 0.02*want {
 			t.Errorf("class %d: %v, by Kaufman and Roberts %v", k, got[k], want)
 		}
--- a/internal/planner/explain.go
+++ b/internal/planner/explain.go
@@ -77,7 +77,7 @@
 		return e.err
 	}
 	e.line("the cheapest enlargement with which all must-demands fit, cost %.4g:", no.Cost)
-	for _, a := range no.Enlarge {
+	for _, a := range no.Additions {
 		if a.B != "" {
 			e.line("  group %s-%s: %d circuits more", a.A, a.B, a.Circuits)
 		} else {
--- a/internal/planner/file_test.go
+++ b/internal/planner/file_test.go
@@ -98,9 +98,9 @@
 		g := &File{}
 		if sign && api.Unmarshal(b, g) == nil && g.Problem != nil && g.Answer != nil && len(g.Problem.Check()) == 0 {
 			if _, err := plan.Verify(g.Problem, g.Answer, 0.5); err == nil {
-				plan.Carry(g.Problem, g.Answer)
-				g.Answer.Weights(g.Problem)
-				g.Answer.Guards(g.Problem)
+				plan.CarriedWorth(g.Problem, g.Answer)
+				g.Answer.TandemWeights(g.Problem)
+				g.Answer.CircuitValues(g.Problem)
 			}
 		}
 	})
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -246,14 +246,14 @@
 // and the worth of its groups' circuits.
 func (l *Loop) event(a replan.Publish) brain.Planned {
 	e := brain.Planned{Version: a.Version}
-	for _, w := range a.Answer.Weights(a.Problem) {
+	for _, w := range a.Answer.TandemWeights(a.Problem) {
 		dest, ok := l.numbers[w.To]
 		tandem, ok2 := l.numbers[w.Tandem]
 		if w.From == l.here && ok && ok2 {
 			e.Weights = append(e.Weights, brain.Weight{Dest: dest, Tandem: tandem, Weight: w.Weight})
 		}
 	}
-	for _, g := range a.Answer.Guards(a.Problem) {
+	for _, g := range a.Answer.CircuitValues(a.Problem) {
 		far := g.A
 		if g.A == l.here {
 			far = g.B
