--- a/routing/controller.go
+++ b/routing/controller.go
@@ -937,7 +937,8 @@
 	default:
 		fault := e.Result == Failed && e.Cause != CauseNumberBusy
 		blocked := e.Cause == CauseNoCircuit || e.Cause == CauseTurnedBack
-		round := f.number != k.dest && e.Result != NotSent && e.Cause != CauseDestinationFull && e.Cause != CauseNumberBusy
+		round := f.number != k.dest && e.Result != NotSent &&
+			e.Cause != CauseDestinationFull && e.Cause != CauseNumberBusy
 		if again && (fault || blocked || round) {
 			if !fault || round {
 				k.tried = append(k.tried, f.number)
