--- a/decide/liveness/liveness.go
+++ b/decide/liveness/liveness.go
@@ -31,26 +31,26 @@
 
 // Settings are the times of a Detector.
 type Settings struct {
-	// VerifyAfter is how long a peer with standing calls may be silent until it is
+	// ProbeAfter is how long a peer with standing calls may be silent until it is
 	// verified. A verification costs the peer a connection, so it is no routine.
-	VerifyAfter time.Duration
-	// CautiousAfter takes its place while other evidence is missing; see Caution.
-	CautiousAfter time.Duration
-	// OverAfter is the age of the last evidence at which the calls are over, if
+	ProbeAfter time.Duration
+	// EarlyProbeAfter takes its place while other evidence is missing; see Caution.
+	EarlyProbeAfter time.Duration
+	// EvidenceTimeout is the age of the last evidence at which the calls are over, if
 	// verifications were tried and none came up.
-	OverAfter time.Duration
-	// LeastUnanswered is how many verifications in a row must have failed by then, or how
+	EvidenceTimeout time.Duration
+	// MinFailures is how many verifications in a row must have failed by then, or how
 	// many connections have been ignored: one may never come up though the peer lives.
-	LeastUnanswered int
+	MinFailures int
 }
 
 // Defaults keep the limit of 8 s with a second to spare for telling callers. A cut that
 // ends within some seconds is outlasted.
 var Defaults = Settings{
-	VerifyAfter:     4500 * time.Millisecond,
-	CautiousAfter:   2 * time.Second,
-	OverAfter:       7 * time.Second,
-	LeastUnanswered: 2,
+	ProbeAfter:     4500 * time.Millisecond,
+	EarlyProbeAfter:   2 * time.Second,
+	EvidenceTimeout:       7 * time.Second,
+	MinFailures: 2,
 }
 
 // mostDoublings bounds Patience.
@@ -83,19 +83,19 @@
 	return &Detector{set: set, lastEvidence: now, lastReceived: now}
 }
 
-// Verdict is what follows from the evidence at some time.
-type Verdict struct {
+// Decision is what follows from the evidence at some time.
+type Decision struct {
 	State State
-	// Verify asks for a new connection, or another question that only a living peer
+	// Probe asks for a new connection, or another question that only a living peer
 	// answers; the host reports Alive or Unanswered.
-	Verify bool
-	// CallsOver says, once, that the calls that stood there are over. After Connected and
+	Probe bool
+	// CallsEnded says, once, that the calls that stood there are over. After Connected and
 	// ReplacedReset it speaks of those from before the new connection.
-	CallsOver bool
-	// Before bounds these: calls that have stood since then are not meant. Zero: all are.
-	Before time.Time
-	// Next is when to ask again if nothing happens; zero: not needed.
-	Next time.Time
+	CallsEnded bool
+	// EstablishedBefore bounds these: calls that have stood since then are not meant. Zero: all are.
+	EstablishedBefore time.Time
+	// NextCheck is when to ask again if nothing happens; zero: not needed.
+	NextCheck time.Time
 }
 
 // Received notes that the peer said something, or answered a ping. It says whether the
@@ -113,39 +113,39 @@
 	d.reset, d.silentReset = false, false
 }
 
-// Ignored notes a connection on which a set-up went out and nothing came back in time. A
+// ConnectionSilent notes a connection on which a set-up went out and nothing came back in time. A
 // process that hangs lets connections come up and says nothing: what ends there meanwhile
 // nobody tells.
-func (d *Detector) Ignored() { d.ignored++ }
+func (d *Detector) ConnectionSilent() { d.ignored++ }
 
-// Patience is how many times its usual wait for an answer a new connection deserves: one
+// SilenceTimeoutFactor is how many times its usual wait for an answer a new connection deserves: one
 // after the other that is ignored is given longer, so that a process that hangs does not
 // find many dead ones when it goes on.
-func (d *Detector) Patience() int { return 1 << min(d.ignored, mostDoublings) }
+func (d *Detector) SilenceTimeoutFactor() int { return 1 << min(d.ignored, mostDoublings) }
 
 // Connected notes that a new connection came up. It is evidence of life, but not always
 // of the same one: a connection that was reset and then others that did not come up are
 // what a machine leaves whose address another takes, and so is the reset of one that had
 // fallen silent. One that drains takes no new connection itself. The calls from before are
 // over then.
-func (d *Detector) Connected(now time.Time) Verdict {
-	gone := d.silentReset || d.reset && (d.draining || d.unanswered >= d.set.LeastUnanswered)
+func (d *Detector) Connected(now time.Time) Decision {
+	gone := d.silentReset || d.reset && (d.draining || d.unanswered >= d.set.MinFailures)
 	other := gone && d.standing > 0
 	d.alive(now)
 	if other {
 		d.doubt = doubt{}
 	}
 	v := d.Check(now)
-	v.CallsOver = v.CallsOver || other
+	v.CallsEnded = v.CallsEnded || other
 	return v
 }
 
-// Reset notes that a connection was reset, and not by this side; silent says that it had
+// ConnectionReset notes that a connection was reset, and not by this side; silent says that it had
 // fallen silent before.
 // A reset of one on which nothing came for some time may come from another process at the
 // address, or be a fault of the network. The list tells which, if it can be had; while
 // evidence is missing, the calls are over OverAfter the last word of before.
-func (d *Detector) Reset(now time.Time, silent bool) Verdict {
+func (d *Detector) ConnectionReset(now time.Time, silent bool) Decision {
 	d.reset = true
 	d.silentReset = d.silentReset || silent
 	if now.Sub(d.lastReceived) >= quiet && d.doubt.since.IsZero() && d.standing > 0 {
@@ -157,82 +157,82 @@
 // quiet is how long nothing came on a connection whose reset may be another's.
 const quiet = time.Second
 
-// Draining notes whether the list says that the peer drains.
-func (d *Detector) Draining(yes bool) { d.draining = yes }
+// SetDraining notes whether the list says that the peer drains.
+func (d *Detector) SetDraining(yes bool) { d.draining = yes }
 
-// ReplacedReset notes that a silent connection was reset in answer to its close, after a
+// ReplacedConnectionReset notes that a silent connection was reset in answer to its close, after a
 // new one came up: whoever answers there does not know the old connection, so it is
 // another machine or another process. The calls from before the new one are over.
-func (d *Detector) ReplacedReset(now time.Time) Verdict {
+func (d *Detector) ReplacedConnectionReset(now time.Time) Decision {
 	over := d.standing > 0
 	d.doubt = doubt{}
 	v := d.Check(now)
-	v.CallsOver = over
+	v.CallsEnded = over
 	return v
 }
 
-// Unanswered notes that a verification, or any other connection, did not come up.
-func (d *Detector) Unanswered() { d.unanswered++ }
+// ProbeFailed notes that a verification, or any other connection, did not come up.
+func (d *Detector) ProbeFailed() { d.unanswered++ }
 
-// Refused notes that a connection was refused. Without a connection the process is gone,
+// ConnectionRefused notes that a connection was refused. Without a connection the process is gone,
 // and with it all that stood there. While another connection is open the machine lives
 // and the process may: one that drains takes no new connections.
-func (d *Detector) Refused(now time.Time, connected bool) Verdict {
+func (d *Detector) ConnectionRefused(now time.Time, connected bool) Decision {
 	if connected {
 		d.alive(now)
 		return d.Check(now)
 	}
 	over := d.standing > 0
 	d.state, d.standing = ProcessGone, 0
-	return Verdict{State: d.state, CallsOver: over}
+	return Decision{State: d.state, CallsEnded: over}
 }
 
-// Standing notes how many calls stand there. The first one that does is told by its
+// SetEstablished notes how many calls stand there. The first one that does is told by its
 // answer, which is evidence of life.
-func (d *Detector) Standing(calls int) { d.standing = calls }
+func (d *Detector) SetEstablished(calls int) { d.standing = calls }
 
-// Caution notes that other evidence is missing until some time: the list of peers is out
+// ProbeEarlyUntil notes that other evidence is missing until some time: the list of peers is out
 // of reach, other peers have become silent, or this proxy is about to stop.
-func (d *Detector) Caution(until time.Time) {
+func (d *Detector) ProbeEarlyUntil(until time.Time) {
 	if until.After(d.cautiousUntil) {
 		d.cautiousUntil = until
 	}
 }
 
-// Unproven says whether the peer is suspected and a verification has failed since.
-func (d *Detector) Unproven() bool { return d.state == Suspected && d.unanswered > 0 }
+// ProbeFailing says whether the peer is suspected and a verification has failed since.
+func (d *Detector) ProbeFailing() bool { return d.state == Suspected && d.unanswered > 0 }
 
 // Check returns what follows at a time.
-func (d *Detector) Check(now time.Time) Verdict {
+func (d *Detector) Check(now time.Time) Decision {
 	if d.standing == 0 {
 		d.doubt = doubt{}
 		if d.state == Suspected {
 			d.state = Alive // nothing depends on it any more
 		}
-		return Verdict{State: d.state}
+		return Decision{State: d.state}
 	}
-	over, hung := d.lastEvidence.Add(d.set.OverAfter), d.lastReceived.Add(d.set.OverAfter)
-	isOver := !now.Before(over) && d.unanswered >= d.set.LeastUnanswered
-	isHung := !now.Before(hung) && d.ignored >= d.set.LeastUnanswered
+	over, hung := d.lastEvidence.Add(d.set.EvidenceTimeout), d.lastReceived.Add(d.set.EvidenceTimeout)
+	isOver := !now.Before(over) && d.unanswered >= d.set.MinFailures
+	isHung := !now.Before(hung) && d.ignored >= d.set.MinFailures
 	if isOver || isHung {
 		d.state, d.standing = Unreachable, 0
-		return Verdict{State: d.state, CallsOver: true}
+		return Decision{State: d.state, CallsEnded: true}
 	}
-	doubted := d.doubt.since.Add(d.set.OverAfter)
+	doubted := d.doubt.since.Add(d.set.EvidenceTimeout)
 	if !d.doubt.since.IsZero() && !now.Before(doubted) {
 		before := d.doubt.reset
 		d.doubt = doubt{}
 		if now.Before(d.cautiousUntil) {
-			return Verdict{State: d.state, CallsOver: true, Before: before, Next: now.Add(d.set.CautiousAfter)}
+			return Decision{State: d.state, CallsEnded: true, EstablishedBefore: before, NextCheck: now.Add(d.set.EarlyProbeAfter)}
 		}
 	}
 	verify := d.verifyAt()
 	if now.Before(verify) {
 		d.state = Alive
-		return Verdict{State: d.state, Next: soonest(now, verify, hung, doubted)}
+		return Decision{State: d.state, NextCheck: soonest(now, verify, hung, doubted)}
 	}
 	d.state = Suspected
-	return Verdict{State: d.state, Verify: true, Next: soonest(now, over, hung, doubted)}
+	return Decision{State: d.state, Probe: true, NextCheck: soonest(now, over, hung, doubted)}
 }
 
 // soonest is the first of some times that is still to come; zero if there is none, and the
@@ -249,8 +249,8 @@
 
 // verifyAt is when the peer is to be verified.
 func (d *Detector) verifyAt() time.Time {
-	usual := d.lastEvidence.Add(d.set.VerifyAfter)
-	cautious := d.lastEvidence.Add(d.set.CautiousAfter)
+	usual := d.lastEvidence.Add(d.set.ProbeAfter)
+	cautious := d.lastEvidence.Add(d.set.EarlyProbeAfter)
 	if cautious.Before(usual) && cautious.Before(d.cautiousUntil) {
 		return cautious
 	}
--- a/decide/liveness/liveness_test.go
+++ b/decide/liveness/liveness_test.go
@@ -15,67 +15,67 @@
 	type step struct {
 		at   float64
 		do   func(d *Detector, now time.Time)
-		want Verdict
+		want Decision
 	}
 	alive := func(d *Detector, now time.Time) { d.Received(now) }
 	connected := func(d *Detector, now time.Time) { d.Connected(now) }
-	ignored := func(d *Detector, _ time.Time) { d.Ignored() }
-	unanswered := func(d *Detector, _ time.Time) { d.Unanswered() }
+	ignored := func(d *Detector, _ time.Time) { d.ConnectionSilent() }
+	unanswered := func(d *Detector, _ time.Time) { d.ProbeFailed() }
 	nothing := func(*Detector, time.Time) {}
-	one := func(d *Detector, _ time.Time) { d.Standing(1) }
-	none := func(d *Detector, _ time.Time) { d.Standing(0) }
-	cautious := func(d *Detector, now time.Time) { d.Caution(now.Add(10 * time.Second)) }
+	one := func(d *Detector, _ time.Time) { d.SetEstablished(1) }
+	none := func(d *Detector, _ time.Time) { d.SetEstablished(0) }
+	cautious := func(d *Detector, now time.Time) { d.ProbeEarlyUntil(now.Add(10 * time.Second)) }
 	for name, steps := range map[string][]step{
 		"nothing stands there": {
-			{100, unanswered, Verdict{State: Alive}},
+			{100, unanswered, Decision{State: Alive}},
 		},
 		"silent and never verified: not over": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{8, nothing, Verdict{State: Suspected, Verify: true}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{8, nothing, Decision{State: Suspected, Probe: true}},
 		},
 		"one connection that does not come up decides nothing": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{4.5, nothing, Verdict{State: Suspected, Verify: true, Next: at(7)}},
-			{7, unanswered, Verdict{State: Suspected, Verify: true}},
-			{7.5, unanswered, Verdict{State: Unreachable, CallsOver: true}},
-			{7.6, nothing, Verdict{State: Unreachable}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{4.5, nothing, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{7, unanswered, Decision{State: Suspected, Probe: true}},
+			{7.5, unanswered, Decision{State: Unreachable, CallsEnded: true}},
+			{7.6, nothing, Decision{State: Unreachable}},
 		},
 		"a cut that ends": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{5, unanswered, Verdict{State: Suspected, Verify: true, Next: at(7)}},
-			{5.5, unanswered, Verdict{State: Suspected, Verify: true, Next: at(7)}},
-			{6, alive, Verdict{State: Alive, Next: at(10.5)}},
-			{7, nothing, Verdict{State: Alive, Next: at(10.5)}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{5.5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{6, alive, Decision{State: Alive, NextCheck: at(10.5)}},
+			{7, nothing, Decision{State: Alive, NextCheck: at(10.5)}},
 		},
 		"with caution it is verified sooner": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{1, cautious, Verdict{State: Alive, Next: at(2)}},
-			{2, nothing, Verdict{State: Suspected, Verify: true, Next: at(7)}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{1, cautious, Decision{State: Alive, NextCheck: at(2)}},
+			{2, nothing, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
 		},
 		"caution that has ended": {
-			{0, cautious, Verdict{State: Alive}},
-			{9, alive, Verdict{State: Alive}},
-			{9, one, Verdict{State: Alive, Next: at(13.5)}},
+			{0, cautious, Decision{State: Alive}},
+			{9, alive, Decision{State: Alive}},
+			{9, one, Decision{State: Alive, NextCheck: at(13.5)}},
 		},
 		"a process that hangs: connections come up and nothing is said": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{2, ignored, Verdict{State: Alive, Next: at(4.5)}},
-			{3, connected, Verdict{State: Alive, Next: at(7)}},
-			{4, ignored, Verdict{State: Alive, Next: at(7)}},
-			{5, connected, Verdict{State: Alive, Next: at(7)}},
-			{7, nothing, Verdict{State: Unreachable, CallsOver: true}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{2, ignored, Decision{State: Alive, NextCheck: at(4.5)}},
+			{3, connected, Decision{State: Alive, NextCheck: at(7)}},
+			{4, ignored, Decision{State: Alive, NextCheck: at(7)}},
+			{5, connected, Decision{State: Alive, NextCheck: at(7)}},
+			{7, nothing, Decision{State: Unreachable, CallsEnded: true}},
 		},
 		"a process that is asked nothing may be idle": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{4.5, connected, Verdict{State: Alive, Next: at(7)}},
-			{7, nothing, Verdict{State: Alive, Next: at(9)}},
-			{9, connected, Verdict{State: Alive, Next: at(13.5)}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{4.5, connected, Decision{State: Alive, NextCheck: at(7)}},
+			{7, nothing, Decision{State: Alive, NextCheck: at(9)}},
+			{9, connected, Decision{State: Alive, NextCheck: at(13.5)}},
 		},
 		"the calls end by themselves": {
-			{0, one, Verdict{State: Alive, Next: at(4.5)}},
-			{5, unanswered, Verdict{State: Suspected, Verify: true, Next: at(7)}},
-			{6, none, Verdict{State: Alive}},
-			{9, unanswered, Verdict{State: Alive}},
+			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+			{5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{6, none, Decision{State: Alive}},
+			{9, unanswered, Decision{State: Alive}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -94,27 +94,27 @@
 	d := New(Defaults, start)
 	var got []int
 	for range 4 {
-		got = append(got, d.Patience())
-		d.Ignored()
+		got = append(got, d.SilenceTimeoutFactor())
+		d.ConnectionSilent()
 	}
 	if want := []int{1, 2, 4, 4}; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
-	if !d.Received(at(1)) || d.Received(at(2)) || d.Patience() != 1 {
+	if !d.Received(at(1)) || d.Received(at(2)) || d.SilenceTimeoutFactor() != 1 {
 		t.Error("what is received ends the doubt, and says so once")
 	}
 }
 
 func TestRefused(t *testing.T) {
 	d := New(Defaults, start)
-	d.Standing(3)
-	if v := d.Refused(at(6), true); v.CallsOver || v.State != Alive {
+	d.SetEstablished(3)
+	if v := d.ConnectionRefused(at(6), true); v.CallsEnded || v.State != Alive {
 		t.Errorf("%+v: one that drains refuses connections and keeps its calls", v)
 	}
-	if v := d.Refused(at(7), false); !v.CallsOver || v.State != ProcessGone {
+	if v := d.ConnectionRefused(at(7), false); !v.CallsEnded || v.State != ProcessGone {
 		t.Errorf("%+v: a process that is gone has no calls", v)
 	}
-	if v := d.Refused(at(8), false); v.CallsOver {
+	if v := d.ConnectionRefused(at(8), false); v.CallsEnded {
 		t.Errorf("%+v: its calls are over once", v)
 	}
 	d.Received(at(9))
@@ -138,48 +138,48 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := New(Defaults, start)
-			d.Standing(2)
-			d.Draining(tc.draining)
+			d.SetEstablished(2)
+			d.SetDraining(tc.draining)
 			if tc.reset {
-				d.Reset(start, tc.silent)
+				d.ConnectionReset(start, tc.silent)
 			}
 			if tc.unanswered {
-				d.Unanswered()
-				d.Unanswered()
+				d.ProbeFailed()
+				d.ProbeFailed()
 			}
 			if tc.received {
 				d.Received(at(1))
 			}
-			if v := d.Connected(at(2)); v.CallsOver != tc.want || v.State != Alive {
+			if v := d.Connected(at(2)); v.CallsEnded != tc.want || v.State != Alive {
 				t.Errorf("%+v, want calls over: %t", v, tc.want)
 			}
 		})
 	}
 	for _, cautious := range []bool{false, true} {
 		d := New(Defaults, start)
-		d.Standing(1)
-		d.Reset(at(3), false) // by a fault, or by another process
+		d.SetEstablished(1)
+		d.ConnectionReset(at(3), false) // by a fault, or by another process
 		d.Connected(at(3))
 		d.Received(at(4))
 		if cautious {
-			d.Caution(at(60))
+			d.ProbeEarlyUntil(at(60))
 		}
-		if v := d.Check(at(6.9)); v.CallsOver {
+		if v := d.Check(at(6.9)); v.CallsEnded {
 			t.Errorf("%+v before its time", v)
 		}
-		if v := d.Check(at(7)); v.CallsOver != cautious || cautious && !v.Before.Equal(at(3)) {
+		if v := d.Check(at(7)); v.CallsEnded != cautious || cautious && !v.EstablishedBefore.Equal(at(3)) {
 			t.Errorf("cautious %t: %+v", cautious, v)
 		}
-		if v := d.Check(at(7.1)); v.CallsOver {
+		if v := d.Check(at(7.1)); v.CallsEnded {
 			t.Errorf("%+v twice", v)
 		}
 	}
 	d := New(Defaults, start)
-	if v := d.ReplacedReset(at(1)); v.CallsOver {
+	if v := d.ReplacedConnectionReset(at(1)); v.CallsEnded {
 		t.Error("nothing stood there")
 	}
-	d.Standing(1)
-	if v := d.ReplacedReset(at(1)); !v.CallsOver {
+	d.SetEstablished(1)
+	if v := d.ReplacedConnectionReset(at(1)); !v.CallsEnded {
 		t.Error("who does not know the old connection does not know its calls")
 	}
 }
@@ -192,24 +192,24 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		seconds := func(most float64) time.Duration { return time.Duration(rng.Float64() * most * float64(time.Second)) }
 		d := New(Defaults, start)
-		d.Standing(1 + rng.IntN(5))
+		d.SetEstablished(1 + rng.IntN(5))
 		vanishes := start.Add(seconds(30))
 		lossy := rng.Float64() < 0.5 // one dial in ten does not come up though it lives
 		now := start
 		for over := false; !over; {
 			v := d.Check(now)
 			switch {
-			case v.CallsOver:
+			case v.CallsEnded:
 				over = true
-			case v.Verify:
+			case v.Probe:
 				if now.Before(vanishes) && !(lossy && rng.IntN(10) == 0) {
 					d.Received(now)
 				} else {
-					d.Unanswered()
+					d.ProbeFailed()
 					now = now.Add(500 * time.Millisecond)
 				}
 			default:
-				next := v.Next
+				next := v.NextCheck
 				if said := now.Add(seconds(6)); said.Before(vanishes) && said.Before(next) {
 					next = said
 					d.Received(said)
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -321,19 +321,19 @@
 // verified tells the detector how a verification went.
 func (l *Link) verified(err error) {
 	l.mu.Lock()
-	var v liveness.Verdict
+	var v liveness.Decision
 	current := l.current
 	now := time.Now()
 	switch {
 	case err == nil:
 		v = l.detector.Connected(now)
 	case isRefused(err):
-		v = l.detector.Refused(now, current != nil)
+		v = l.detector.ConnectionRefused(now, current != nil)
 		if v.State == liveness.ProcessGone {
 			l.pending = nil // nobody is left to be told
 		}
 	case isUnanswered(err):
-		l.detector.Unanswered()
+		l.detector.ProbeFailed()
 		v = l.detector.Check(now)
 		if current == nil {
 			l.renewLater() // it may come up late, and carry something
@@ -343,7 +343,7 @@
 		return // this machine's trouble says nothing of the switch
 	}
 	standing := l.anyStanding()
-	missing := l.detector.Unproven() || v.CallsOver
+	missing := l.detector.ProbeFailing() || v.CallsEnded
 	l.carryOut(v, err, now)
 	if missing {
 		l.up.EvidenceMissing()
@@ -396,20 +396,20 @@
 
 // carryOut does what a verdict says; the calls that it may say are over are those from
 // before a time. It takes over the lock and lets it go.
-func (l *Link) carryOut(v liveness.Verdict, cause error, before time.Time) {
-	if !v.Before.IsZero() {
-		before = v.Before
+func (l *Link) carryOut(v liveness.Decision, cause error, before time.Time) {
+	if !v.EstablishedBefore.IsZero() {
+		before = v.EstablishedBefore
 	}
 	l.enter(v.State)
-	l.verify = v.Verify
-	if !v.Next.IsZero() {
-		l.watch.Reset(time.Until(v.Next))
+	l.verify = v.Probe
+	if !v.NextCheck.IsZero() {
+		l.watch.Reset(time.Until(v.NextCheck))
 	}
-	if v.CallsOver {
+	if v.CallsEnded {
 		l.callsOver(v.State, cause, before)
 	}
 	l.mu.Unlock()
-	if v.CallsOver {
+	if v.CallsEnded {
 		why := core.EndProcessGone
 		if v.State == liveness.Unreachable {
 			why = core.EndUnreachable
@@ -423,7 +423,7 @@
 func (l *Link) callsOver(state liveness.State, cause error, before time.Time) {
 	had := len(l.standing)
 	maps.DeleteFunc(l.standing, func(_ uint64, since time.Time) bool { return since.Before(before) })
-	l.detector.Standing(len(l.standing))
+	l.detector.SetEstablished(len(l.standing))
 	l.log.Warn("calls that stand at a switch are over", "state", state.String(), "calls", had-len(l.standing), "error", cause)
 	if state != liveness.Unreachable {
 		return
@@ -457,10 +457,10 @@
 	if len(l.standing) == before {
 		return
 	}
-	l.detector.Standing(len(l.standing))
+	l.detector.SetEstablished(len(l.standing))
 	if before == 0 {
-		if v := l.detector.Check(time.Now()); !v.Next.IsZero() {
-			l.watch.Reset(time.Until(v.Next))
+		if v := l.detector.Check(time.Now()); !v.NextCheck.IsZero() {
+			l.watch.Reset(time.Until(v.NextCheck))
 		}
 	}
 }
@@ -505,10 +505,10 @@
 	}
 	switch reset := errors.Is(err, syscall.ECONNRESET); {
 	case reset && s.challenged:
-		l.carryOut(l.detector.ReplacedReset(time.Now()), err, s.replacedAt)
+		l.carryOut(l.detector.ReplacedConnectionReset(time.Now()), err, s.replacedAt)
 	case reset && !s.replaced:
 		now := time.Now()
-		l.carryOut(l.detector.Reset(now, wasSilent), err, now)
+		l.carryOut(l.detector.ConnectionReset(now, wasSilent), err, now)
 	default:
 		l.mu.Unlock()
 	}
@@ -671,7 +671,7 @@
 // Caution makes the link verify its switch sooner until some time.
 func (l *Link) Caution(until time.Time) {
 	l.mu.Lock()
-	l.detector.Caution(until)
+	l.detector.ProbeEarlyUntil(until)
 	if l.closed || len(l.standing) == 0 {
 		l.mu.Unlock()
 		return
@@ -685,14 +685,14 @@
 func (l *Link) Unproven() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.detector.Unproven()
+	return l.detector.ProbeFailing()
 }
 
 // SetDraining says whether the switch drains by the list.
 func (l *Link) SetDraining(yes bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.detector.Draining(yes)
+	l.detector.SetDraining(yes)
 }
 
 // Leave says that the switch has gone by the list. Nothing is dialled any more: another
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -84,7 +84,7 @@
 	if out != nil {
 		out.end(metrics.CloseSilent)
 	}
-	l.detector.Ignored()
+	l.detector.ConnectionSilent()
 	now := time.Now()
 	l.carryOut(l.detector.Check(now), nil, now)
 	// Here too: a set-up is out until it is given up where it was sent, or the connection
@@ -120,7 +120,7 @@
 func (s *session) sent() {
 	if !s.waiting {
 		s.waiting = true
-		s.silence.Reset(s.link.times.Silence * time.Duration(s.link.detector.Patience()))
+		s.silence.Reset(s.link.times.Silence * time.Duration(s.link.detector.SilenceTimeoutFactor()))
 	}
 }
 
