--- a/decide/liveness/liveness.go
+++ b/decide/liveness/liveness.go
@@ -1,258 +1,271 @@
-// Package liveness judges whether the calls that stand at one peer are still there, from
-// the evidence that a proxy has itself: what it receives, and whether connections come up.
+// Package liveness decides whether the calls established at one peer still exist, from
+// the evidence that the proxy has itself: what it receives, and whether its connections
+// come up.
 //
-// A peer that vanishes gives no sign, and the service that lists peers may be down or
-// late. The rule is that the callers of calls that are over hear of it within 8 s of the
-// end. The end can't be seen, but it is no earlier than the last evidence of life. So a
-// Detector bounds the time since that evidence: a peer with standing calls that is silent
-// is verified, and if no verification comes up its calls are over OverAfter the last
-// evidence, whether or not anybody says so.
+// A peer that vanishes sends nothing, and the service that lists peers may be down or
+// late. Callers must be notified within 8 s of the end of their calls. The end can't be
+// observed, but it is no earlier than the last evidence of life, so a Detector limits the
+// time since that evidence: it has a silent peer with established calls probed, and if no
+// probe succeeds, it declares the calls ended EvidenceTimeout after the last evidence,
+// whether or not the list of peers confirms it.
 //
-// A Detector is a state machine without a clock, a goroutine or I/O: times are passed in,
-// and a host carries out what its Verdicts say. It is not safe for concurrent use.
+// A Detector is a state machine without a clock, goroutines or I/O: the host passes the
+// time to each method and carries out the returned Decision. It is not safe for
+// concurrent use.
 package liveness
 
 import "time"
 
-// State is what is held to be true of a peer.
+// State is the detector's current assessment of a peer.
 type State int
 
 // The states.
 const (
-	Alive       State = iota // there is recent evidence of life, or nothing stands there
-	Suspected                // calls stand there, and the last evidence is too old
-	Unreachable              // its calls were declared over, as nothing was heard of it; no evidence of life since
+	Alive       State = iota // there is recent evidence of life, or no call is established
+	Suspected                // calls are established, and the last evidence is too old
+	Unreachable              // its calls were declared ended for lack of evidence; none has come since
 	ProcessGone              // it refused a connection; no evidence of life since
 )
 
+// String returns the metric label of a state.
 func (s State) String() string {
 	return [...]string{"alive", "suspected", "unreachable", "process_gone"}[s]
 }
 
-// Settings are the times of a Detector.
+// Settings are the time limits and thresholds of a Detector.
 type Settings struct {
-	// ProbeAfter is how long a peer with standing calls may be silent until it is
-	// verified. A verification costs the peer a connection, so it is no routine.
+	// ProbeAfter is how long a peer with established calls may be silent before it is
+	// probed. A probe costs the peer a connection, so probes are not sent routinely.
 	ProbeAfter time.Duration
-	// EarlyProbeAfter takes its place while other evidence is missing; see Caution.
+	// EarlyProbeAfter replaces ProbeAfter while other evidence is missing; see
+	// Detector.ProbeEarlyUntil.
 	EarlyProbeAfter time.Duration
-	// EvidenceTimeout is the age of the last evidence at which the calls are over, if
-	// verifications were tried and none came up.
+	// EvidenceTimeout is the age of the last evidence at which the calls are declared
+	// ended, if probes were tried and none succeeded.
 	EvidenceTimeout time.Duration
-	// MinFailures is how many verifications in a row must have failed by then, or how
-	// many connections have been ignored: one may never come up though the peer lives.
+	// MinFailures is how many probes in a row must have failed by then, or how many
+	// connections must have stayed silent: a single connection may fail to come up
+	// although the peer is alive.
 	MinFailures int
 }
 
-// Defaults keep the limit of 8 s with a second to spare for telling callers. A cut that
-// ends within some seconds is outlasted.
+// Defaults keep within the limit of 8 s and leave a second of it to notify callers. A
+// network outage of a few seconds ends no calls.
 var Defaults = Settings{
-	ProbeAfter:     4500 * time.Millisecond,
-	EarlyProbeAfter:   2 * time.Second,
-	EvidenceTimeout:       7 * time.Second,
-	MinFailures: 2,
+	ProbeAfter:      4500 * time.Millisecond,
+	EarlyProbeAfter: 2 * time.Second,
+	EvidenceTimeout: 7 * time.Second,
+	MinFailures:     2,
 }
 
-// mostDoublings bounds Patience.
-const mostDoublings = 2
+// maxDoublings limits SilenceTimeoutFactor to 4.
+const maxDoublings = 2
 
-// Detector judges one peer. Make one with New.
+// Detector tracks the evidence for one peer. Create one with New.
 type Detector struct {
-	set           Settings
-	state         State
-	lastEvidence  time.Time
-	lastReceived  time.Time // when something was received last
-	ignored       int       // connections on which set-ups went out and nothing came back since then
-	unanswered    int       // verifications without an answer since the last evidence
-	reset         bool      // the connection was reset since the last evidence
-	standing      int
-	cautiousUntil time.Time
-	draining      bool // by the list, it takes no new connections
-	silentReset   bool // a connection that had fallen silent was reset since the last evidence
-	doubt         doubt
+	settings          Settings
+	state             State
+	lastEvidence      time.Time
+	lastReceived      time.Time // when something was last received
+	silentConnections int       // connections on which set-ups were sent and nothing was received since
+	failedProbes      int       // probes that failed since the last evidence
+	wasReset          bool      // the connection was reset since the last evidence
+	established       int       // calls
+	probeEarlyUntil   time.Time
+	draining          bool // according to the list; a draining peer accepts no new connections
+	silentReset       bool // a connection that had fallen silent was reset since the last evidence
+	suspectReset      suspectReset
 }
 
-// doubt is about the calls from before a reset that may have come from another process.
-type doubt struct {
-	since time.Time // the last that was received before it; zero: no doubt
-	reset time.Time
+// suspectReset is a reset that may have come from another process at the peer's address,
+// in which case the calls from before it have ended.
+type suspectReset struct {
+	quietSince time.Time // when something was last received before the reset; zero: no reset is suspect
+	at         time.Time
 }
 
-// New makes a detector for a peer that nothing is known of.
-func New(set Settings, now time.Time) *Detector {
-	return &Detector{set: set, lastEvidence: now, lastReceived: now}
+// New returns a detector for a peer of which nothing is known yet.
+func New(settings Settings, now time.Time) *Detector {
+	return &Detector{settings: settings, lastEvidence: now, lastReceived: now}
 }
 
-// Decision is what follows from the evidence at some time.
+// Decision is what follows from the evidence at a given time.
 type Decision struct {
 	State State
-	// Probe asks for a new connection, or another question that only a living peer
-	// answers; the host reports Alive or Unanswered.
+	// Probe asks the host for a new connection, or another request that only a living
+	// peer answers. The host reports success with Connected or Received, failure with
+	// ProbeFailed or ConnectionRefused.
 	Probe bool
-	// CallsEnded says, once, that the calls that stood there are over. After Connected and
-	// ReplacedReset it speaks of those from before the new connection.
+	// CallsEnded reports, once, that the calls established at the peer have ended. From
+	// Connected and ReplacedConnectionReset it means the calls from before the new
+	// connection.
 	CallsEnded bool
-	// EstablishedBefore bounds these: calls that have stood since then are not meant. Zero: all are.
+	// EstablishedBefore limits CallsEnded to the calls established before this time.
+	// Zero: no limit.
 	EstablishedBefore time.Time
-	// NextCheck is when to ask again if nothing happens; zero: not needed.
+	// NextCheck is when to call Check if nothing else happens; zero: not needed.
 	NextCheck time.Time
 }
 
-// Received notes that the peer said something, or answered a ping. It says whether the
-// peer had been in doubt before that.
+// Received records that the peer sent something or answered a ping. It reports whether
+// a probe had failed or a connection had fallen silent before that.
 func (d *Detector) Received(now time.Time) (recovered bool) {
-	recovered = d.ignored+d.unanswered > 0
-	d.lastReceived, d.ignored = now, 0
-	d.alive(now)
+	recovered = d.silentConnections+d.failedProbes > 0
+	d.lastReceived, d.silentConnections = now, 0
+	d.markAlive(now)
 	return recovered
 }
 
-// alive notes evidence of life of the machine.
-func (d *Detector) alive(now time.Time) {
-	d.state, d.lastEvidence, d.unanswered = Alive, now, 0
-	d.reset, d.silentReset = false, false
+// markAlive records evidence that the machine is alive.
+func (d *Detector) markAlive(now time.Time) {
+	d.state, d.lastEvidence, d.failedProbes = Alive, now, 0
+	d.wasReset, d.silentReset = false, false
 }
 
-// ConnectionSilent notes a connection on which a set-up went out and nothing came back in time. A
-// process that hangs lets connections come up and says nothing: what ends there meanwhile
-// nobody tells.
-func (d *Detector) ConnectionSilent() { d.ignored++ }
+// ConnectionSilent records a connection on which a set-up was sent and nothing was received
+// in time. A process that hangs still accepts connections but sends nothing, so the ends of
+// its calls are not reported.
+func (d *Detector) ConnectionSilent() { d.silentConnections++ }
 
-// SilenceTimeoutFactor is how many times its usual wait for an answer a new connection deserves: one
-// after the other that is ignored is given longer, so that a process that hangs does not
-// find many dead ones when it goes on.
-func (d *Detector) SilenceTimeoutFactor() int { return 1 << min(d.ignored, mostDoublings) }
+// SilenceTimeoutFactor returns the factor by which a new connection's silence timeout is
+// extended. Each silent connection in a row doubles it, so that a hanging process does not
+// find many dead connections when it resumes.
+func (d *Detector) SilenceTimeoutFactor() int { return 1 << min(d.silentConnections, maxDoublings) }
 
-// Connected notes that a new connection came up. It is evidence of life, but not always
-// of the same one: a connection that was reset and then others that did not come up are
-// what a machine leaves whose address another takes, and so is the reset of one that had
-// fallen silent. One that drains takes no new connection itself. The calls from before are
-// over then.
+// Connected records that a new connection came up. That is evidence of life, but not always
+// of the same machine. Another machine has taken over the address if a connection was reset
+// and further connections then failed, or if a connection was reset that had fallen silent.
+// The same holds after the reset of a draining peer, which itself accepts no new connection.
+// The calls from before have then ended.
 func (d *Detector) Connected(now time.Time) Decision {
-	gone := d.silentReset || d.reset && (d.draining || d.unanswered >= d.set.MinFailures)
-	other := gone && d.standing > 0
-	d.alive(now)
-	if other {
-		d.doubt = doubt{}
+	replaced := d.silentReset || d.wasReset && (d.draining || d.failedProbes >= d.settings.MinFailures)
+	callsEnded := replaced && d.established > 0
+	d.markAlive(now)
+	if callsEnded {
+		d.suspectReset = suspectReset{}
 	}
-	v := d.Check(now)
-	v.CallsEnded = v.CallsEnded || other
-	return v
+	decision := d.Check(now)
+	decision.CallsEnded = decision.CallsEnded || callsEnded
+	return decision
 }
 
-// ConnectionReset notes that a connection was reset, and not by this side; silent says that it had
-// fallen silent before.
-// A reset of one on which nothing came for some time may come from another process at the
-// address, or be a fault of the network. The list tells which, if it can be had; while
-// evidence is missing, the calls are over OverAfter the last word of before.
+// ConnectionReset records that a connection was reset, and not by this side; silent is
+// whether it had fallen silent before.
+// If nothing was received for minQuiet, the reset may come from another process at the
+// address, or be a fault of the network. The list of peers tells which, where it is
+// available. While evidence is missing, the calls are declared ended EvidenceTimeout after
+// the last message before the reset.
 func (d *Detector) ConnectionReset(now time.Time, silent bool) Decision {
-	d.reset = true
+	d.wasReset = true
 	d.silentReset = d.silentReset || silent
-	if now.Sub(d.lastReceived) >= quiet && d.doubt.since.IsZero() && d.standing > 0 {
-		d.doubt = doubt{since: d.lastReceived, reset: now}
+	if now.Sub(d.lastReceived) >= minQuiet && d.suspectReset.quietSince.IsZero() && d.established > 0 {
+		d.suspectReset = suspectReset{quietSince: d.lastReceived, at: now}
 	}
 	return d.Check(now)
 }
 
-// quiet is how long nothing came on a connection whose reset may be another's.
-const quiet = time.Second
+// minQuiet is how long nothing must have been received before a reset for the reset to be
+// suspect.
+const minQuiet = time.Second
 
-// SetDraining notes whether the list says that the peer drains.
-func (d *Detector) SetDraining(yes bool) { d.draining = yes }
+// SetDraining sets whether the peer drains according to the list.
+func (d *Detector) SetDraining(draining bool) { d.draining = draining }
 
-// ReplacedConnectionReset notes that a silent connection was reset in answer to its close, after a
-// new one came up: whoever answers there does not know the old connection, so it is
-// another machine or another process. The calls from before the new one are over.
+// ReplacedConnectionReset records that a silent connection was reset in answer to its close,
+// after a new one came up. The peer does not know the old connection, so it is another
+// machine or another process. The calls from before the new connection have ended.
 func (d *Detector) ReplacedConnectionReset(now time.Time) Decision {
-	over := d.standing > 0
-	d.doubt = doubt{}
-	v := d.Check(now)
-	v.CallsEnded = over
-	return v
+	callsEnded := d.established > 0
+	d.suspectReset = suspectReset{}
+	decision := d.Check(now)
+	decision.CallsEnded = callsEnded
+	return decision
 }
 
-// ProbeFailed notes that a verification, or any other connection, did not come up.
-func (d *Detector) ProbeFailed() { d.unanswered++ }
+// ProbeFailed records that a probe, or any other connection attempt, got no answer.
+func (d *Detector) ProbeFailed() { d.failedProbes++ }
 
-// ConnectionRefused notes that a connection was refused. Without a connection the process is gone,
-// and with it all that stood there. While another connection is open the machine lives
-// and the process may: one that drains takes no new connections.
+// ConnectionRefused records that a connection was refused. If no other connection is open,
+// the process has exited and its calls have ended. If one is open, the machine is alive and
+// the process may be: a draining peer accepts no new connections.
 func (d *Detector) ConnectionRefused(now time.Time, connected bool) Decision {
 	if connected {
-		d.alive(now)
+		d.markAlive(now)
 		return d.Check(now)
 	}
-	over := d.standing > 0
-	d.state, d.standing = ProcessGone, 0
-	return Decision{State: d.state, CallsEnded: over}
+	callsEnded := d.established > 0
+	d.state, d.established = ProcessGone, 0
+	return Decision{State: d.state, CallsEnded: callsEnded}
 }
 
-// SetEstablished notes how many calls stand there. The first one that does is told by its
-// answer, which is evidence of life.
-func (d *Detector) SetEstablished(calls int) { d.standing = calls }
+// SetEstablished sets the number of calls established at the peer. The answer that
+// establishes the first call is itself evidence of life.
+func (d *Detector) SetEstablished(calls int) { d.established = calls }
 
-// ProbeEarlyUntil notes that other evidence is missing until some time: the list of peers is out
-// of reach, other peers have become silent, or this proxy is about to stop.
+// ProbeEarlyUntil makes the detector probe a silent peer after EarlyProbeAfter until the
+// given time. It is for times when other evidence is missing: the list of peers is
+// unavailable, other peers have fallen silent, or this proxy is about to stop.
 func (d *Detector) ProbeEarlyUntil(until time.Time) {
-	if until.After(d.cautiousUntil) {
-		d.cautiousUntil = until
+	if until.After(d.probeEarlyUntil) {
+		d.probeEarlyUntil = until
 	}
 }
 
-// ProbeFailing says whether the peer is suspected and a verification has failed since.
-func (d *Detector) ProbeFailing() bool { return d.state == Suspected && d.unanswered > 0 }
+// ProbeFailing reports whether the peer is suspected and a probe has failed since the last
+// evidence.
+func (d *Detector) ProbeFailing() bool { return d.state == Suspected && d.failedProbes > 0 }
 
-// Check returns what follows at a time.
+// Check returns the decision at the given time.
 func (d *Detector) Check(now time.Time) Decision {
-	if d.standing == 0 {
-		d.doubt = doubt{}
+	if d.established == 0 {
+		d.suspectReset = suspectReset{}
 		if d.state == Suspected {
-			d.state = Alive // nothing depends on it any more
+			d.state = Alive // no call depends on it any more
 		}
 		return Decision{State: d.state}
 	}
-	over, hung := d.lastEvidence.Add(d.set.EvidenceTimeout), d.lastReceived.Add(d.set.EvidenceTimeout)
-	isOver := !now.Before(over) && d.unanswered >= d.set.MinFailures
-	isHung := !now.Before(hung) && d.ignored >= d.set.MinFailures
-	if isOver || isHung {
-		d.state, d.standing = Unreachable, 0
+	evidenceDeadline, receiveDeadline := d.lastEvidence.Add(d.settings.EvidenceTimeout), d.lastReceived.Add(d.settings.EvidenceTimeout)
+	unreachable := !now.Before(evidenceDeadline) && d.failedProbes >= d.settings.MinFailures
+	hung := !now.Before(receiveDeadline) && d.silentConnections >= d.settings.MinFailures
+	if unreachable || hung {
+		d.state, d.established = Unreachable, 0
 		return Decision{State: d.state, CallsEnded: true}
 	}
-	doubted := d.doubt.since.Add(d.set.EvidenceTimeout)
-	if !d.doubt.since.IsZero() && !now.Before(doubted) {
-		before := d.doubt.reset
-		d.doubt = doubt{}
-		if now.Before(d.cautiousUntil) {
-			return Decision{State: d.state, CallsEnded: true, EstablishedBefore: before, NextCheck: now.Add(d.set.EarlyProbeAfter)}
+	resetDeadline := d.suspectReset.quietSince.Add(d.settings.EvidenceTimeout)
+	if !d.suspectReset.quietSince.IsZero() && !now.Before(resetDeadline) {
+		resetAt := d.suspectReset.at
+		d.suspectReset = suspectReset{}
+		if now.Before(d.probeEarlyUntil) {
+			return Decision{State: d.state, CallsEnded: true, EstablishedBefore: resetAt, NextCheck: now.Add(d.settings.EarlyProbeAfter)}
 		}
 	}
-	verify := d.verifyAt()
-	if now.Before(verify) {
+	probeTime := d.probeTime()
+	if now.Before(probeTime) {
 		d.state = Alive
-		return Decision{State: d.state, NextCheck: soonest(now, verify, hung, doubted)}
+		return Decision{State: d.state, NextCheck: earliestAfter(now, probeTime, receiveDeadline, resetDeadline)}
 	}
 	d.state = Suspected
-	return Decision{State: d.state, Probe: true, NextCheck: soonest(now, over, hung, doubted)}
+	return Decision{State: d.state, Probe: true, NextCheck: earliestAfter(now, evidenceDeadline, receiveDeadline, resetDeadline)}
 }
 
-// soonest is the first of some times that is still to come; zero if there is none, and the
-// next evidence decides.
-func soonest(now time.Time, times ...time.Time) time.Time {
-	var first time.Time
+// earliestAfter returns the earliest of the times that is after now. It returns zero if
+// there is none; then only new evidence changes the decision.
+func earliestAfter(now time.Time, times ...time.Time) time.Time {
+	var earliest time.Time
 	for _, t := range times {
-		if t.After(now) && (first.IsZero() || t.Before(first)) {
-			first = t
+		if t.After(now) && (earliest.IsZero() || t.Before(earliest)) {
+			earliest = t
 		}
 	}
-	return first
+	return earliest
 }
 
-// verifyAt is when the peer is to be verified.
-func (d *Detector) verifyAt() time.Time {
-	usual := d.lastEvidence.Add(d.set.ProbeAfter)
-	cautious := d.lastEvidence.Add(d.set.EarlyProbeAfter)
-	if cautious.Before(usual) && cautious.Before(d.cautiousUntil) {
-		return cautious
+// probeTime returns when to probe the peer.
+func (d *Detector) probeTime() time.Time {
+	usual := d.lastEvidence.Add(d.settings.ProbeAfter)
+	early := d.lastEvidence.Add(d.settings.EarlyProbeAfter)
+	if early.Before(usual) && early.Before(d.probeEarlyUntil) {
+		return early
 	}
 	return usual
 }
--- a/decide/liveness/liveness_test.go
+++ b/decide/liveness/liveness_test.go
@@ -11,71 +11,71 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	type step struct {
 		at   float64
 		do   func(d *Detector, now time.Time)
 		want Decision
 	}
-	alive := func(d *Detector, now time.Time) { d.Received(now) }
+	received := func(d *Detector, now time.Time) { d.Received(now) }
 	connected := func(d *Detector, now time.Time) { d.Connected(now) }
-	ignored := func(d *Detector, _ time.Time) { d.ConnectionSilent() }
-	unanswered := func(d *Detector, _ time.Time) { d.ProbeFailed() }
+	silent := func(d *Detector, _ time.Time) { d.ConnectionSilent() }
+	probeFailed := func(d *Detector, _ time.Time) { d.ProbeFailed() }
 	nothing := func(*Detector, time.Time) {}
-	one := func(d *Detector, _ time.Time) { d.SetEstablished(1) }
-	none := func(d *Detector, _ time.Time) { d.SetEstablished(0) }
-	cautious := func(d *Detector, now time.Time) { d.ProbeEarlyUntil(now.Add(10 * time.Second)) }
+	oneCall := func(d *Detector, _ time.Time) { d.SetEstablished(1) }
+	noCall := func(d *Detector, _ time.Time) { d.SetEstablished(0) }
+	probeEarly := func(d *Detector, now time.Time) { d.ProbeEarlyUntil(now.Add(10 * time.Second)) }
 	for name, steps := range map[string][]step{
-		"nothing stands there": {
-			{100, unanswered, Decision{State: Alive}},
+		"no established call": {
+			{100, probeFailed, Decision{State: Alive}},
 		},
-		"silent and never verified: not over": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+		"silent, but never probed: its calls are not ended": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
 			{8, nothing, Decision{State: Suspected, Probe: true}},
 		},
-		"one connection that does not come up decides nothing": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+		"a single failed connection does not end the calls": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
 			{4.5, nothing, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
-			{7, unanswered, Decision{State: Suspected, Probe: true}},
-			{7.5, unanswered, Decision{State: Unreachable, CallsEnded: true}},
+			{7, probeFailed, Decision{State: Suspected, Probe: true}},
+			{7.5, probeFailed, Decision{State: Unreachable, CallsEnded: true}},
 			{7.6, nothing, Decision{State: Unreachable}},
 		},
-		"a cut that ends": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
-			{5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
-			{5.5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
-			{6, alive, Decision{State: Alive, NextCheck: at(10.5)}},
+		"a short network outage": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
+			{5, probeFailed, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{5.5, probeFailed, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{6, received, Decision{State: Alive, NextCheck: at(10.5)}},
 			{7, nothing, Decision{State: Alive, NextCheck: at(10.5)}},
 		},
-		"with caution it is verified sooner": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
-			{1, cautious, Decision{State: Alive, NextCheck: at(2)}},
+		"probed earlier while other evidence is missing": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
+			{1, probeEarly, Decision{State: Alive, NextCheck: at(2)}},
 			{2, nothing, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
 		},
-		"caution that has ended": {
-			{0, cautious, Decision{State: Alive}},
-			{9, alive, Decision{State: Alive}},
-			{9, one, Decision{State: Alive, NextCheck: at(13.5)}},
+		"the period of early probes has passed": {
+			{0, probeEarly, Decision{State: Alive}},
+			{9, received, Decision{State: Alive}},
+			{9, oneCall, Decision{State: Alive, NextCheck: at(13.5)}},
 		},
-		"a process that hangs: connections come up and nothing is said": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
-			{2, ignored, Decision{State: Alive, NextCheck: at(4.5)}},
+		"a hanging process: connections come up, but nothing is received": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
+			{2, silent, Decision{State: Alive, NextCheck: at(4.5)}},
 			{3, connected, Decision{State: Alive, NextCheck: at(7)}},
-			{4, ignored, Decision{State: Alive, NextCheck: at(7)}},
+			{4, silent, Decision{State: Alive, NextCheck: at(7)}},
 			{5, connected, Decision{State: Alive, NextCheck: at(7)}},
 			{7, nothing, Decision{State: Unreachable, CallsEnded: true}},
 		},
-		"a process that is asked nothing may be idle": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
+		"a process without a pending set-up may be idle": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
 			{4.5, connected, Decision{State: Alive, NextCheck: at(7)}},
 			{7, nothing, Decision{State: Alive, NextCheck: at(9)}},
 			{9, connected, Decision{State: Alive, NextCheck: at(13.5)}},
 		},
-		"the calls end by themselves": {
-			{0, one, Decision{State: Alive, NextCheck: at(4.5)}},
-			{5, unanswered, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
-			{6, none, Decision{State: Alive}},
-			{9, unanswered, Decision{State: Alive}},
+		"the calls end normally": {
+			{0, oneCall, Decision{State: Alive, NextCheck: at(4.5)}},
+			{5, probeFailed, Decision{State: Suspected, Probe: true, NextCheck: at(7)}},
+			{6, noCall, Decision{State: Alive}},
+			{9, probeFailed, Decision{State: Alive}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestPatienceWithWhatIsIgnored(t *testing.T) {
+func TestSilenceTimeoutFactor(t *testing.T) {
 	d := New(Defaults, start)
 	var got []int
 	for range 4 {
@@ -101,7 +101,7 @@
 		t.Errorf("%v, want %v", got, want)
 	}
 	if !d.Received(at(1)) || d.Received(at(2)) || d.SilenceTimeoutFactor() != 1 {
-		t.Error("what is received ends the doubt, and says so once")
+		t.Error("a received message must reset the factor, and be reported as a recovery once")
 	}
 }
 
@@ -109,13 +109,13 @@
 	d := New(Defaults, start)
 	d.SetEstablished(3)
 	if v := d.ConnectionRefused(at(6), true); v.CallsEnded || v.State != Alive {
-		t.Errorf("%+v: one that drains refuses connections and keeps its calls", v)
+		t.Errorf("%+v: a draining peer refuses connections and keeps its calls", v)
 	}
 	if v := d.ConnectionRefused(at(7), false); !v.CallsEnded || v.State != ProcessGone {
-		t.Errorf("%+v: a process that is gone has no calls", v)
+		t.Errorf("%+v: the calls of an exited process must end", v)
 	}
 	if v := d.ConnectionRefused(at(8), false); v.CallsEnded {
-		t.Errorf("%+v: its calls are over once", v)
+		t.Errorf("%+v: the calls were ended twice", v)
 	}
 	d.Received(at(9))
 	if v := d.Check(at(9)); v.State != Alive {
@@ -125,16 +125,16 @@
 
 func TestAnotherMachineAtTheAddress(t *testing.T) {
 	for name, tc := range map[string]struct {
-		reset, silent, draining, unanswered, received bool
-		want                                          bool
+		reset, silent, draining, probesFailed, received bool
+		want                                            bool
 	}{
-		"a reset alone is a fault of the connection": {reset: true},
-		"a cut that ends":                               {unanswered: true},
-		"a reset and then nothing comes up":             {reset: true, unanswered: true, want: true},
-		"... but something was received after all that": {reset: true, unanswered: true, received: true},
-		"a reset of what had fallen silent":             {reset: true, silent: true, want: true},
-		"a reset of one that takes no new connections":  {reset: true, draining: true, want: true},
-		"one that drains, and takes one after all":      {draining: true},
+		"a reset alone is a fault of the connection":           {reset: true},
+		"failed connections, but no reset":                     {probesFailed: true},
+		"a reset, then failed connections":                     {reset: true, probesFailed: true, want: true},
+		"a reset, failed connections, then a message received": {reset: true, probesFailed: true, received: true},
+		"a reset of a silent connection":                       {reset: true, silent: true, want: true},
+		"a reset by a draining peer":                           {reset: true, draining: true, want: true},
+		"a draining peer that accepts a connection after all":  {draining: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := New(Defaults, start)
@@ -143,7 +143,7 @@
 			if tc.reset {
 				d.ConnectionReset(start, tc.silent)
 			}
-			if tc.unanswered {
+			if tc.probesFailed {
 				d.ProbeFailed()
 				d.ProbeFailed()
 			}
@@ -151,58 +151,60 @@
 				d.Received(at(1))
 			}
 			if v := d.Connected(at(2)); v.CallsEnded != tc.want || v.State != Alive {
-				t.Errorf("%+v, want calls over: %t", v, tc.want)
+				t.Errorf("%+v, want calls ended: %t", v, tc.want)
 			}
 		})
 	}
-	for _, cautious := range []bool{false, true} {
+	for _, probeEarly := range []bool{false, true} {
 		d := New(Defaults, start)
 		d.SetEstablished(1)
-		d.ConnectionReset(at(3), false) // by a fault, or by another process
+		d.ConnectionReset(at(3), false) // by a network fault, or by another process
 		d.Connected(at(3))
 		d.Received(at(4))
-		if cautious {
+		if probeEarly {
 			d.ProbeEarlyUntil(at(60))
 		}
 		if v := d.Check(at(6.9)); v.CallsEnded {
-			t.Errorf("%+v before its time", v)
+			t.Errorf("%+v: ended before EvidenceTimeout", v)
 		}
-		if v := d.Check(at(7)); v.CallsEnded != cautious || cautious && !v.EstablishedBefore.Equal(at(3)) {
-			t.Errorf("cautious %t: %+v", cautious, v)
+		if v := d.Check(at(7)); v.CallsEnded != probeEarly || probeEarly && !v.EstablishedBefore.Equal(at(3)) {
+			t.Errorf("early probes %t: %+v", probeEarly, v)
 		}
 		if v := d.Check(at(7.1)); v.CallsEnded {
-			t.Errorf("%+v twice", v)
+			t.Errorf("%+v: ended twice", v)
 		}
 	}
 	d := New(Defaults, start)
 	if v := d.ReplacedConnectionReset(at(1)); v.CallsEnded {
-		t.Error("nothing stood there")
+		t.Error("calls ended although none was established")
 	}
 	d.SetEstablished(1)
 	if v := d.ReplacedConnectionReset(at(1)); !v.CallsEnded {
-		t.Error("who does not know the old connection does not know its calls")
+		t.Error("a peer that does not know the old connection has lost its calls")
 	}
 }
 
-// With a host that verifies as it is asked, and a peer that vanishes at any time, the
-// calls are over no later than 7.6 s after the end and never while the peer lives.
+// The host probes whenever the detector asks, and the peer vanishes at a random time. The
+// calls must be ended at most 7.6 s later, and never while the peer is alive.
 func TestEveryEndIsFoundInTime(t *testing.T) {
 	const limit = 7600 * time.Millisecond
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		seconds := func(most float64) time.Duration { return time.Duration(rng.Float64() * most * float64(time.Second)) }
+		randomUpTo := func(maxSeconds float64) time.Duration {
+			return time.Duration(rng.Float64() * maxSeconds * float64(time.Second))
+		}
 		d := New(Defaults, start)
 		d.SetEstablished(1 + rng.IntN(5))
-		vanishes := start.Add(seconds(30))
-		lossy := rng.Float64() < 0.5 // one dial in ten does not come up though it lives
+		vanishesAt := start.Add(randomUpTo(30))
+		lossy := rng.Float64() < 0.5 // one dial in ten fails although the peer is alive
 		now := start
-		for over := false; !over; {
+		for ended := false; !ended; {
 			v := d.Check(now)
 			switch {
 			case v.CallsEnded:
-				over = true
+				ended = true
 			case v.Probe:
-				if now.Before(vanishes) && !(lossy && rng.IntN(10) == 0) {
+				if now.Before(vanishesAt) && !(lossy && rng.IntN(10) == 0) {
 					d.Received(now)
 				} else {
 					d.ProbeFailed()
@@ -210,18 +212,18 @@
 				}
 			default:
 				next := v.NextCheck
-				if said := now.Add(seconds(6)); said.Before(vanishes) && said.Before(next) {
-					next = said
-					d.Received(said)
+				if receivedAt := now.Add(randomUpTo(6)); receivedAt.Before(vanishesAt) && receivedAt.Before(next) {
+					next = receivedAt
+					d.Received(receivedAt)
 				}
 				now = next
 			}
 		}
-		if now.Before(vanishes) {
-			t.Fatalf("seed %d: over %v before the end", seed, vanishes.Sub(now))
+		if now.Before(vanishesAt) {
+			t.Fatalf("seed %d: calls ended %v before the peer vanished", seed, vanishesAt.Sub(now))
 		}
-		if late := now.Sub(vanishes); late > limit {
-			t.Fatalf("seed %d: found %v after the end", seed, late)
+		if delay := now.Sub(vanishesAt); delay > limit {
+			t.Fatalf("seed %d: calls ended %v after the peer vanished", seed, delay)
 		}
 	}
 }
