--- a/decide/replan/replan.go
+++ b/decide/replan/replan.go
@@ -209,7 +209,7 @@
 		if planned[f] > 0 {
 			share = d.Rate / planned[f]
 		}
-		problem.Demands[i].Rate = min(measured[f]*share, plan.MaxFigure)
+		problem.Demands[i].Rate = min(measured[f]*share, plan.MaxValue)
 		problem.Demands[i].Must = min(d.Must, problem.Demands[i].Rate)
 	}
 	switches := map[string]bool{}
@@ -242,7 +242,7 @@
 	}
 	oldWorth := 0.0
 	if p.inForce != nil {
-		oldWorth = plan.Carry(problem, p.inForce)
+		oldWorth = plan.CarriedWorth(problem, p.inForce)
 	}
 	entry := Log{Text: "plan kept", OldWorth: oldWorth, NewWorth: a.Worth}
 	switch {
--- a/decide/replan/replan_test.go
+++ b/decide/replan/replan_test.go
@@ -184,7 +184,7 @@
 	h := newTestHost(t)
 	h.countCalls(0, 60*sec, 3)
 	h.apply(h.p.Tick(20 * sec))
-	h.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnproven })
+	h.answer(22*sec, func(*plan.Answer) error { return plan.ErrUnverified })
 	h.expectLog("solve", "no new plan")
 	h.apply(h.p.Tick(32 * sec))
 	h.apply(h.p.SetInventory(33*sec, testProblem(25))) // while a solve is in progress
--- a/internal/planner/explain.go
+++ b/internal/planner/explain.go
@@ -79,7 +79,7 @@
 		return out.err
 	}
 	out.line("cheapest enlargement with which all must-demands can be carried, cost %.4g:", infeasible.Cost)
-	for _, a := range infeasible.Enlarge {
+	for _, a := range infeasible.Additions {
 		if a.B != "" {
 			out.line("  group %s-%s: %d more circuits", a.A, a.B, a.Circuits)
 		} else {
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/internal/core"
 	"violetspan.example/violetspan/internal/metrics"
+	"violetspan.example/violetspan/routing"
 )
 
 // replacedFor is how long a connection that another has replaced is read on for what the
@@ -84,7 +84,7 @@
 	if out != nil {
 		out.end(metrics.CloseSilent)
 	}
-	l.detector.Ignored()
+	l.detector.ConnectionSilent()
 	now := time.Now()
 	l.carryOut(l.detector.Check(now), nil, now)
 	// Here too: a set-up is out until it is given up where it was sent, or the connection
@@ -100,7 +100,7 @@
 // reset says that set-ups were reset with their connection.
 func (s *session) reset(open []uint64) {
 	for _, id := range open {
-		s.link.up.Ended(id, core.End{Result: brain.Reset})
+		s.link.up.Ended(id, core.End{Result: routing.Reset})
 	}
 }
 
@@ -120,7 +120,7 @@
 func (s *session) sent() {
 	if !s.waiting {
 		s.waiting = true
-		s.silence.Reset(s.link.times.Silence * time.Duration(s.link.detector.Patience()))
+		s.silence.Reset(s.link.times.Silence * time.Duration(s.link.detector.SilenceTimeoutFactor()))
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"violetspan.example/violetspan/brain"
+	"violetspan.example/violetspan/routing"
 )
 
 // params are the start-up settings by path; the first bad one is kept.
@@ -53,35 +53,35 @@
 }
 
 // settings reads the pairs of a LAUNCH line; keys it does not know are skipped.
-func settings(f *fields, in *instance) (brain.Settings, error) {
+func settings(f *fields, in *instance) (routing.Settings, error) {
 	p := &params{f: f, vals: map[string]string{}}
 	for _, pair := range strings.Fields(f.rest) {
 		key, val, ok := strings.Cut(pair, "=")
 		if !ok {
-			return brain.Settings{}, f.bad("params", fmt.Sprintf("%q is not a pair", pair))
+			return routing.Settings{}, f.bad("params", fmt.Sprintf("%q is not a pair", pair))
 		}
 		p.vals[key] = val
 	}
-	s := brain.Settings{
-		Here:          p.whole("extra.here", -1),
-		Fleet:         p.whole("fleetSize", 1),
-		Pools:         p.vals["extra.topology"] == "groups",
-		MaxAttempts:   p.whole("limits.mostTries", 1),
-		Release:       p.ms("extra.releaseMs"),
-		Resend:        p.ms("extra.resendMs"),
-		ColdRamp:      p.ms("rules.rampTimeMs"),
-		ColdShare:     p.num("rules.coldShare", 0),
-		FallMultiple:  p.num("rules.fallMultiple", 1),
-		FallWindow:    p.ms("rules.overloadForMs"),
-		AnswerSlack:   p.ms("rules.answerSlackMs"),
-		CancelAllowed: p.yes("limits.cancel"),
-		AskForList:    p.vals["registryMode"] == "subscribe",
-		RedialsMarked: p.yes("clients.marksRetry"),
+	s := routing.Settings{
+		OwnExchange:       p.whole("extra.here", -1),
+		FleetSize:         p.whole("fleetSize", 1),
+		PoolMode:          p.vals["extra.topology"] == "groups",
+		MaxAttempts:       p.whole("limits.mostTries", 1),
+		ReleaseDelay:      p.ms("extra.releaseMs"),
+		ResendInterval:    p.ms("extra.resendMs"),
+		WarmUpTime:        p.ms("rules.rampTimeMs"),
+		ColdCapacity:      p.num("rules.coldShare", 0),
+		OverloadFactor:    p.num("rules.fallMultiple", 1),
+		OverloadWindow:    p.ms("rules.overloadForMs"),
+		AnswerSlack:       p.ms("rules.answerSlackMs"),
+		CancelAllowed:     p.yes("limits.cancel"),
+		SubscribeRequired: p.vals["registryMode"] == "subscribe",
+		RedialsMarked:     p.yes("clients.marksRetry"),
 	}
 	widths, holds := p.list("extra.widths"), p.list("extra.classHoldMs")
 	for i := range max(0, min(p.whole("classes.count", 0), 1000)) {
 		at := fmt.Sprintf("classes.%d.", i)
-		k := brain.Class{Goal: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
+		k := routing.Class{GoalTime: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
 			Worth: p.num(at+"worth", 1), Width: 1}
 		if i < len(widths) {
 			p.vals[at+"width"] = widths[i]
