--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -17,14 +17,14 @@
 
 // Settings of a Loop. A zero value means its default.
 type Settings struct {
-	File     string        // a plan to take at the start and on each reload; "": none
-	Measure  bool          // solve anew for the demand that is measured
-	Here     int           // number of the own exchange
-	Deadline time.Duration // of one solve; 20 s
-	Gap      float64       // of one solve; 1e-3
-	Blocking float64       // at which a group counts as full; 0.2
-	Costs    plan.Costs
-	Replan   replan.Settings
+	File        string        // a plan to take at the start and on each reload; "": none
+	Measure     bool          // solve anew for the demand that is measured
+	OwnExchange int           // number of the own exchange
+	Deadline    time.Duration // of one solve; 20 s
+	Gap         float64       // of one solve; 1e-3
+	Blocking    float64       // at which a group counts as full; 0.2
+	Costs       plan.Costs
+	Replan      replan.Settings
 }
 
 // Defaults of a Loop.
@@ -82,10 +82,10 @@
 
 func (l *Loop) now() time.Duration { return time.Since(l.from) }
 
-// Inventory takes what an inventory says of the mesh, then the plan's file if one is
+// SetInventory takes what an inventory says of the mesh, then the plan's file if one is
 // named. An error is of the file alone: the inventory counts, and a plan in force
 // stays if it is still for it.
-func (l *Loop) Inventory(base *plan.Problem, ids map[int]string) error {
+func (l *Loop) SetInventory(base *plan.Problem, ids map[int]string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := *base
@@ -94,7 +94,7 @@
 	for n, id := range ids {
 		l.numbers[id] = n
 	}
-	if here := ids[l.set.Here]; l.p == nil || here != l.here {
+	if here := ids[l.set.OwnExchange]; l.p == nil || here != l.here {
 		s := l.set.Replan
 		s.OwnSwitch, l.here = here, here
 		version := uint64(time.Now().UnixNano()) // above those of a planner before
@@ -104,7 +104,7 @@
 		l.p = replan.New(s, version)
 	}
 	if l.here == "" {
-		l.log.Warn("no switch of the inventory is the own exchange: a plan has nothing to say here", "exchange", l.set.Here)
+		l.log.Warn("no switch of the inventory is the own exchange: a plan has nothing to say here", "exchange", l.set.OwnExchange)
 	}
 	l.act(l.p.SetInventory(l.now(), &p))
 	if l.set.File == "" {
@@ -132,10 +132,10 @@
 // maxCounted bounds the flows that are counted between two ticks.
 const maxCounted = 1 << 16
 
-// Count takes in a call of the own exchange's callers, for the measure of demand. It
+// CountCall takes in a call of the own exchange's callers, for the measure of demand. It
 // takes no lock that is held while others are told of anything, and may be called
 // under any.
-func (l *Loop) Count(class string, dest int) {
+func (l *Loop) CountCall(class string, dest int) {
 	if !l.set.Measure {
 		return
 	}
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -70,7 +70,7 @@
 	}
 	write(p, 600)
 	l, h := loop(Settings{File: path})
-	if err := l.Inventory(testProblem(), ids); err != nil {
+	if err := l.SetInventory(testProblem(), ids); err != nil {
 		t.Fatal(err)
 	}
 	e, n := h.last()
@@ -89,7 +89,7 @@
 	}
 	other := testProblem()
 	other.Groups[0].Circuits = 50
-	if err := l.Inventory(other, ids); !errors.Is(err, replan.ErrOtherInventory) {
+	if err := l.SetInventory(other, ids); !errors.Is(err, replan.ErrOtherInventory) {
 		t.Error(err)
 	}
 	e2, n := h.last()
@@ -98,15 +98,15 @@
 	}
 	write(other, 0.001)
 	time.Sleep(5 * time.Millisecond)
-	if err := l.Inventory(other, ids); err == nil || !strings.Contains(err.Error(), "time is over") {
+	if err := l.SetInventory(other, ids); err == nil || !strings.Contains(err.Error(), "time is over") {
 		t.Error(err)
 	}
 	write(other, 600)
-	if err := l.Inventory(other, ids); err != nil {
+	if err := l.SetInventory(other, ids); err != nil {
 		t.Error(err)
 	}
 	// Its own exchange under another number: what was in force is another's.
-	if err := l.Inventory(other, map[int]string{0: "b", 1: "a", 2: "c"}); err != nil {
+	if err := l.SetInventory(other, map[int]string{0: "b", 1: "a", 2: "c"}); err != nil {
 		t.Error(err)
 	}
 	e3, _ := h.last()
@@ -124,14 +124,14 @@
 		want     string
 	}{{0, "plan adopted: none was in force"}, {time.Nanosecond, "no new plan"}} {
 		l, h := loop(Settings{Measure: true, Replan: quick, Deadline: c.deadline})
-		if err := l.Inventory(testProblem(), ids); err != nil {
+		if err := l.SetInventory(testProblem(), ids); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		done := make(chan error, 1)
 		go func() { done <- l.Run(ctx) }()
 		for !h.said(c.want) && ctx.Err() == nil {
-			l.Count("narrow", 2)
+			l.CountCall("narrow", 2)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if ctx.Err() != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -276,9 +276,9 @@
 	set, opt := p.settings(life)
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
-		ps.Here = set.Brain.OwnExchange
+		ps.OwnExchange = set.Brain.OwnExchange
 		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.Plan(e, until) })
-		opt.Seen = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
+		opt.Seen = func(s *core.SetUp) { p.planner.CountCall(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
 	}
 	if p.core, err = core.New(life, opt); err != nil {
@@ -476,7 +476,7 @@
 				ids[m.Number] = m.ID
 			}
 		}
-		if err := p.planner.Inventory(&inv.Plan, ids); err != nil {
+		if err := p.planner.SetInventory(&inv.Plan, ids); err != nil {
 			p.log.Error("plan not taken", "file", p.service.Plan.File, "error", err)
 		}
 	}
