--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -15,176 +15,179 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Settings of a Loop. A zero value means its default.
+// Settings configures a Loop. The zero value of Deadline, Gap, Blocking or a field of Replan
+// means its default.
 type Settings struct {
-	File        string        // a plan to take at the start and on each reload; "": none
-	Measure     bool          // solve anew for the demand that is measured
+	File        string        // plan file to read at the start and on each reload; "": none
+	Measure     bool          // solve for new plans from the measured demand
 	OwnExchange int           // number of the own exchange
-	Deadline    time.Duration // of one solve; 20 s
-	Gap         float64       // of one solve; 1e-3
-	Blocking    float64       // at which a group counts as full; 0.2
+	Deadline    time.Duration // time limit of one solve; 20 s
+	Gap         float64       // relative optimality gap of one solve; 1e-3
+	Blocking    float64       // blocking at which a group counts as full; 0.2
 	Costs       plan.Costs
 	Replan      replan.Settings
 }
 
-// Defaults of a Loop.
+// Defaults of Settings, and the interval of the planner's ticks.
 const (
 	defaultDeadline = 20 * time.Second
 	defaultGap      = 1e-3
 	defaultBlocking = 0.2
-	tick            = time.Second
+	tickInterval    = time.Second
 )
 
-// Loop is the running part of planning. It may be used by several goroutines.
+// Loop runs a replan.Planner: it keeps its clock, counts calls and solves off the call path.
+// It is safe for concurrent use.
 type Loop struct {
-	set  Settings
-	log  *slog.Logger
-	tell func(e routing.PlanUpdated, until time.Time)
-	from time.Time
-	done chan outcome // of the one solve on its way
+	settings Settings
+	log      *slog.Logger
+	notify   func(e routing.PlanUpdated, until time.Time)
+	start    time.Time
+	results  chan solveResult // of the one solve in progress
 
-	counting sync.Mutex // guards counts
-	counts   map[counted]int
+	countsMu sync.Mutex // guards counts
+	counts   map[flowKey]int
 
-	mu      sync.Mutex // guards all below; never held while solving
-	p       *replan.Planner
-	base    *plan.Problem
-	ids     map[int]string // switches by number
-	numbers map[string]int
-	here    string
-	late    func() // stops the solve on its way
+	mu            sync.Mutex // guards the fields below; not held while solving
+	planner       *replan.Planner
+	problem       *plan.Problem
+	switchIDs     map[int]string // by exchange number
+	switchNumbers map[string]int
+	ownSwitch     string
+	cancelSolve   func() // cancels the solve in progress; nil: none
 }
 
-type counted struct {
+// flowKey identifies the calls of one class to one exchange.
+type flowKey struct {
 	class string
 	dest  int
 }
 
-type outcome struct {
-	ticket uint64
-	a      *plan.Answer
+// solveResult is the result of the solve with the given ID.
+type solveResult struct {
+	id     uint64
+	answer *plan.Answer
 	err    error
 }
 
-// New makes a loop that tells the module of plans through tell.
-func New(set Settings, log *slog.Logger, tell func(e routing.PlanUpdated, until time.Time)) *Loop {
-	if set.Deadline <= 0 {
-		set.Deadline = defaultDeadline
+// New returns a Loop that passes plans to the controller through notify.
+func New(settings Settings, log *slog.Logger, notify func(e routing.PlanUpdated, until time.Time)) *Loop {
+	if settings.Deadline <= 0 {
+		settings.Deadline = defaultDeadline
 	}
-	if set.Gap <= 0 {
-		set.Gap = defaultGap
+	if settings.Gap <= 0 {
+		settings.Gap = defaultGap
 	}
-	if set.Blocking <= 0 {
-		set.Blocking = defaultBlocking
+	if settings.Blocking <= 0 {
+		settings.Blocking = defaultBlocking
 	}
-	return &Loop{set: set, log: log, tell: tell, from: time.Now(), done: make(chan outcome, 1), counts: map[counted]int{}}
+	return &Loop{settings: settings, log: log, notify: notify, start: time.Now(), results: make(chan solveResult, 1), counts: map[flowKey]int{}}
 }
 
-func (l *Loop) now() time.Duration { return time.Since(l.from) }
+func (l *Loop) now() time.Duration { return time.Since(l.start) }
 
-// SetInventory takes what an inventory says of the mesh, then the plan's file if one is
-// named. An error is of the file alone: the inventory counts, and a plan in force
-// stays if it is still for it.
-func (l *Loop) SetInventory(base *plan.Problem, ids map[int]string) error {
+// SetInventory sets the inventory and the switch IDs by exchange number, then puts the plan
+// of the plan file into force if one is configured. An error concerns the plan file only: the
+// inventory is set, and a plan in force stays if it is still for this inventory.
+func (l *Loop) SetInventory(inventory *plan.Problem, switchIDs map[int]string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := *base
-	p.Target, p.Costs = l.set.Blocking, l.set.Costs
-	l.base, l.ids, l.numbers = &p, ids, map[string]int{}
-	for n, id := range ids {
-		l.numbers[id] = n
+	problem := *inventory
+	problem.Target, problem.Costs = l.settings.Blocking, l.settings.Costs
+	l.problem, l.switchIDs, l.switchNumbers = &problem, switchIDs, map[string]int{}
+	for n, id := range switchIDs {
+		l.switchNumbers[id] = n
 	}
-	if here := ids[l.set.OwnExchange]; l.p == nil || here != l.here {
-		s := l.set.Replan
-		s.OwnSwitch, l.here = here, here
-		version := uint64(time.Now().UnixNano()) // above those of a planner before
-		if l.p != nil {
-			l.tell(routing.PlanUpdated{Version: version}, time.Now())
+	if ownSwitch := switchIDs[l.settings.OwnExchange]; l.planner == nil || ownSwitch != l.ownSwitch {
+		replanSettings := l.settings.Replan
+		replanSettings.OwnSwitch, l.ownSwitch = ownSwitch, ownSwitch
+		version := uint64(time.Now().UnixNano()) // above those of an earlier planner
+		if l.planner != nil {
+			l.notify(routing.PlanUpdated{Version: version}, time.Now())
 		}
-		l.p = replan.New(s, version)
+		l.planner = replan.New(replanSettings, version)
 	}
-	if l.here == "" {
-		l.log.Warn("no switch of the inventory is the own exchange: a plan has nothing to say here", "exchange", l.set.OwnExchange)
+	if l.ownSwitch == "" {
+		l.log.Warn("no switch of the inventory belongs to the own exchange: plans have no effect", "exchange", l.settings.OwnExchange)
 	}
-	l.act(l.p.SetInventory(l.now(), &p))
-	if l.set.File == "" {
+	l.apply(l.planner.SetInventory(l.now(), &problem))
+	if l.settings.File == "" {
 		return nil
 	}
-	f, err := Read(l.set.File)
+	f, err := Read(l.settings.File)
 	if err != nil {
 		return err
 	}
-	if err := f.CheckInventory(&p); err != nil {
+	if err := f.CheckInventory(&problem); err != nil {
 		return err
 	}
-	left := f.Remaining(time.Now())
-	if left <= 0 {
-		return errors.New("the plan's time is over")
+	remaining := f.Remaining(time.Now())
+	if remaining <= 0 {
+		return errors.New("the plan has expired")
 	}
-	acts, err := l.p.Import(l.now(), f.Problem, f.Answer, f.Gap, left)
+	actions, err := l.planner.Import(l.now(), f.Problem, f.Answer, f.Gap, remaining)
 	if err != nil {
 		return err
 	}
-	l.act(acts)
+	l.apply(actions)
 	return nil
 }
 
-// maxCounted bounds the flows that are counted between two ticks.
-const maxCounted = 1 << 16
+// maxCountedFlows is the maximum number of flows counted between two ticks.
+const maxCountedFlows = 1 << 16
 
-// CountCall takes in a call of the own exchange's callers, for the measure of demand. It
-// takes no lock that is held while others are told of anything, and may be called
-// under any.
+// CountCall counts a call of the own exchange's callers to measure the demand. It takes no
+// lock that is held while notify runs, so the caller may hold any lock.
 func (l *Loop) CountCall(class string, dest int) {
-	if !l.set.Measure {
+	if !l.settings.Measure {
 		return
 	}
-	l.counting.Lock()
-	defer l.counting.Unlock()
-	k := counted{class, dest}
-	if _, ok := l.counts[k]; ok || len(l.counts) < maxCounted {
+	l.countsMu.Lock()
+	defer l.countsMu.Unlock()
+	k := flowKey{class, dest}
+	if _, ok := l.counts[k]; ok || len(l.counts) < maxCountedFlows {
 		l.counts[k]++
 	}
 }
 
-// takeCounts hands what was counted to the planner, in an order that is always the
-// same. The lock is held.
+// takeCounts passes the counted calls to the planner in a deterministic order. The caller
+// holds mu.
 func (l *Loop) takeCounts(now time.Duration) {
-	l.counting.Lock()
+	l.countsMu.Lock()
 	counts := l.counts
-	l.counts = map[counted]int{}
-	l.counting.Unlock()
-	keys := slices.SortedFunc(maps.Keys(counts), func(a, b counted) int { return cmp.Or(cmp.Compare(a.class, b.class), a.dest-b.dest) })
+	l.counts = map[flowKey]int{}
+	l.countsMu.Unlock()
+	keys := slices.SortedFunc(maps.Keys(counts), func(a, b flowKey) int { return cmp.Or(cmp.Compare(a.class, b.class), a.dest-b.dest) })
 	for _, k := range keys {
-		if id, ok := l.ids[k.dest]; ok {
-			l.p.Count(now, replan.Flow{Class: k.class, To: id}, counts[k])
+		if id, ok := l.switchIDs[k.dest]; ok {
+			l.planner.Count(now, replan.Flow{Class: k.class, To: id}, counts[k])
 		}
 	}
 }
 
-// Run keeps the plan until the context ends.
+// Run keeps a plan in force until ctx is done. It returns nil.
 func (l *Loop) Run(ctx context.Context) error {
-	t := time.NewTicker(tick)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 			l.mu.Lock()
-			if l.p != nil {
+			if l.planner != nil {
 				now := l.now()
 				l.takeCounts(now)
-				l.act(l.p.Tick(now))
+				l.apply(l.planner.Tick(now))
 			}
 			l.mu.Unlock()
-		case o := <-l.done:
+		case result := <-l.results:
 			l.mu.Lock()
-			l.late = nil
-			l.act(l.p.HandleSolved(l.now(), o.ticket, o.a, o.err))
+			l.cancelSolve = nil
+			l.apply(l.planner.HandleSolved(l.now(), result.id, result.answer, result.err))
 			l.mu.Unlock()
 		case <-ctx.Done():
 			l.mu.Lock()
-			if l.late != nil {
-				l.late()
+			if l.cancelSolve != nil {
+				l.cancelSolve()
 			}
 			l.mu.Unlock()
 			return nil
@@ -192,20 +195,20 @@
 	}
 }
 
-// act does what the planner wants. The lock is held.
-func (l *Loop) act(acts []replan.Action) {
-	for _, a := range acts {
+// apply executes the planner's actions. The caller holds mu.
+func (l *Loop) apply(actions []replan.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case replan.Solve:
-			if l.set.Measure {
+			if l.settings.Measure {
 				l.solve(a)
 			}
 		case replan.Publish:
-			until := l.from.Add(a.Until)
-			l.tell(l.event(a), until)
+			until := l.start.Add(a.Until)
+			l.notify(l.planUpdate(a), until)
 			l.log.Info("plan in force", "version", a.Version, "worth", a.Answer.Worth, "bound", a.Answer.Bound, "gap", a.Answer.Gap, "until", until.UTC().Format(time.RFC3339))
 		case replan.Withdraw:
-			l.tell(routing.PlanUpdated{Version: a.Version}, time.Now())
+			l.notify(routing.PlanUpdated{Version: a.Version}, time.Now())
 			l.log.Info("plan withdrawn", "version", a.Version)
 		case replan.Log:
 			if a.Err != nil {
@@ -217,24 +220,24 @@
 	}
 }
 
-// solve works a plan out beside the calls. One that was asked for before, and whose
-// answer nobody awaits any more, is stopped.
+// solve starts a solve in a goroutine. An earlier solve that still runs is cancelled, because
+// its result is no longer awaited.
 func (l *Loop) solve(s replan.Solve) {
-	if l.late != nil {
-		l.late()
+	if l.cancelSolve != nil {
+		l.cancelSolve()
 	}
-	ctx, stop := context.WithTimeout(context.Background(), l.set.Deadline)
-	l.late = stop
+	ctx, stop := context.WithTimeout(context.Background(), l.settings.Deadline)
+	l.cancelSolve = stop
 	go func() {
 		defer stop()
-		a, err := plan.Solve(s.Problem, plan.Options{Gap: l.set.Gap, Stop: func() bool { return ctx.Err() != nil }})
-		for o := (outcome{s.ID, a, err}); ; {
+		answer, err := plan.Solve(s.Problem, plan.Options{Gap: l.settings.Gap, Stop: func() bool { return ctx.Err() != nil }})
+		for result := (solveResult{s.ID, answer, err}); ; {
 			select {
-			case l.done <- o:
+			case l.results <- result:
 				return
 			default:
-				select { // an answer that nobody took yet is older
-				case <-l.done:
+				select { // discard an older result that was not received
+				case <-l.results:
 				default:
 				}
 			}
@@ -242,25 +245,25 @@
 	}()
 }
 
-// event is what the module is told of a plan: the weights of the own exchange's calls
-// and the worth of its groups' circuits.
-func (l *Loop) event(a replan.Publish) routing.PlanUpdated {
+// planUpdate returns the controller's event for a plan: the tandem weights of the own
+// exchange's calls and the value of a circuit of each of its groups.
+func (l *Loop) planUpdate(a replan.Publish) routing.PlanUpdated {
 	e := routing.PlanUpdated{Version: a.Version}
 	for _, w := range a.Answer.TandemWeights(a.Problem) {
-		dest, ok := l.numbers[w.To]
-		tandem, ok2 := l.numbers[w.Tandem]
-		if w.From == l.here && ok && ok2 {
+		dest, destFound := l.switchNumbers[w.To]
+		tandem, tandemFound := l.switchNumbers[w.Tandem]
+		if w.From == l.ownSwitch && destFound && tandemFound {
 			e.Weights = append(e.Weights, routing.Weight{Dest: dest, Tandem: tandem, Weight: w.Weight})
 		}
 	}
 	for _, g := range a.Answer.CircuitValues(a.Problem) {
-		far := g.A
-		if g.A == l.here {
-			far = g.B
-		} else if g.B != l.here {
+		neighbor := g.A
+		if g.A == l.ownSwitch {
+			neighbor = g.B
+		} else if g.B != l.ownSwitch {
 			continue
 		}
-		if n, ok := l.numbers[far]; ok {
+		if n, ok := l.switchNumbers[neighbor]; ok {
 			e.Guards = append(e.Guards, routing.Guard{Toward: n, Value: g.Value})
 		}
 	}
--- a/internal/planner/loop_test.go
+++ b/internal/planner/loop_test.go
@@ -16,128 +16,129 @@
 	"violetspan.example/violetspan/routing"
 )
 
-var ids = map[int]string{0: "a", 1: "b", 2: "c"}
+var switchIDs = map[int]string{0: "a", 1: "b", 2: "c"}
 
-// heard keeps what a module would have been told.
-type heard struct {
+// recorder records the events for the controller and the log.
+type recorder struct {
 	mu     sync.Mutex
 	events []routing.PlanUpdated
 	log    bytes.Buffer
 }
 
-func (h *heard) tell(e routing.PlanUpdated, until time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.events = append(h.events, e)
+func (r *recorder) notify(e routing.PlanUpdated, until time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.events = append(r.events, e)
 }
 
-func (h *heard) last() (routing.PlanUpdated, int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.events) == 0 {
+func (r *recorder) last() (routing.PlanUpdated, int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.events) == 0 {
 		return routing.PlanUpdated{}, 0
 	}
-	return h.events[len(h.events)-1], len(h.events)
+	return r.events[len(r.events)-1], len(r.events)
 }
 
-func (h *heard) Write(b []byte) (int, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.log.Write(b)
+func (r *recorder) Write(b []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.log.Write(b)
 }
 
-func (h *heard) said(text string) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return strings.Contains(h.log.String(), text)
+func (r *recorder) logged(text string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Contains(r.log.String(), text)
 }
 
-func loop(set Settings) (*Loop, *heard) {
-	h := &heard{}
-	return New(set, slog.New(slog.NewTextHandler(h, nil)), h.tell), h
+func newTestLoop(settings Settings) (*Loop, *recorder) {
+	r := &recorder{}
+	return New(settings, slog.New(slog.NewTextHandler(r, nil)), r.notify), r
 }
 
-// A file's plan reaches the module as the own exchange's part of it. Another
-// inventory ends it, and a file that does not fit or hold changes nothing.
+// The own exchange's part of the plan in the plan file is passed to the controller. Another
+// inventory withdraws the plan, and a file with an expired plan or a plan for another
+// inventory has no effect.
 func TestFileInForce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	p := testProblem()
-	write := func(p *plan.Problem, valid float64) {
+	write := func(p *plan.Problem, validSeconds float64) {
 		t.Helper()
-		if err := (&File{CreatedAt: time.Now().UTC(), ValidSeconds: valid, Gap: 1e-6, Problem: p, Answer: solve(t, p)}).Write(path); err != nil {
+		if err := (&File{CreatedAt: time.Now().UTC(), ValidSeconds: validSeconds, Gap: 1e-6, Problem: p, Answer: solve(t, p)}).Write(path); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write(p, 600)
-	l, h := loop(Settings{File: path})
-	if err := l.SetInventory(testProblem(), ids); err != nil {
+	l, r := newTestLoop(Settings{File: path})
+	if err := l.SetInventory(testProblem(), switchIDs); err != nil {
 		t.Fatal(err)
 	}
-	e, n := h.last()
-	if n != 1 || len(e.Weights) == 0 || len(e.Guards) != 2 {
-		t.Fatalf("%d events, %+v", n, e)
+	first, n := r.last()
+	if n != 1 || len(first.Weights) == 0 || len(first.Guards) != 2 {
+		t.Fatalf("%d events, %+v", n, first)
 	}
-	for _, w := range e.Weights { // from a: to c by b, and to b by c if there is room
+	for _, w := range first.Weights { // from a: to c via b, and to b via c if there is capacity
 		if w.Dest+w.Tandem != 3 || w.Weight < 0.99 {
 			t.Error(w)
 		}
 	}
-	for _, g := range e.Guards {
+	for _, g := range first.Guards {
 		if g.Value < 0.1 { // both groups of a are full
 			t.Error(g)
 		}
 	}
 	other := testProblem()
 	other.Groups[0].Circuits = 50
-	if err := l.SetInventory(other, ids); !errors.Is(err, replan.ErrOtherInventory) {
+	if err := l.SetInventory(other, switchIDs); !errors.Is(err, replan.ErrOtherInventory) {
 		t.Error(err)
 	}
-	e2, n := h.last()
-	if n != 2 || len(e2.Weights) != 0 || e2.Version <= e.Version {
-		t.Errorf("%d events, %+v", n, e2)
+	withdrawal, n := r.last()
+	if n != 2 || len(withdrawal.Weights) != 0 || withdrawal.Version <= first.Version {
+		t.Errorf("%d events, %+v", n, withdrawal)
 	}
 	write(other, 0.001)
 	time.Sleep(5 * time.Millisecond)
-	if err := l.SetInventory(other, ids); err == nil || !strings.Contains(err.Error(), "time is over") {
+	if err := l.SetInventory(other, switchIDs); err == nil || !strings.Contains(err.Error(), "expired") {
 		t.Error(err)
 	}
 	write(other, 600)
-	if err := l.SetInventory(other, ids); err != nil {
+	if err := l.SetInventory(other, switchIDs); err != nil {
 		t.Error(err)
 	}
-	// Its own exchange under another number: what was in force is another's.
+	// The own exchange's number now belongs to another switch: the plan in force is for the old one.
 	if err := l.SetInventory(other, map[int]string{0: "b", 1: "a", 2: "c"}); err != nil {
 		t.Error(err)
 	}
-	e3, _ := h.last()
-	if e3.Version <= e2.Version || len(e3.Guards) != 2 || e3.Guards[0].Toward+e3.Guards[1].Toward != 3 {
-		t.Errorf("%+v", e3)
+	renumbered, _ := r.last()
+	if renumbered.Version <= withdrawal.Version || len(renumbered.Guards) != 2 || renumbered.Guards[0].Toward+renumbered.Guards[1].Toward != 3 {
+		t.Errorf("%+v", renumbered)
 	}
 }
 
-// Measured demand brings a plan into force while calls go on; a solve that takes too
-// long leaves things as they are.
+// Measured demand puts a plan into force while calls arrive; a solve that exceeds its
+// deadline has no effect.
 func TestMeasured(t *testing.T) {
 	quick := replan.Settings{Interval: time.Second, Memory: time.Second, MinCoverage: 0.5}
 	for _, c := range []struct {
 		deadline time.Duration
 		want     string
 	}{{0, "plan adopted: none was in force"}, {time.Nanosecond, "no new plan"}} {
-		l, h := loop(Settings{Measure: true, Replan: quick, Deadline: c.deadline})
-		if err := l.SetInventory(testProblem(), ids); err != nil {
+		l, r := newTestLoop(Settings{Measure: true, Replan: quick, Deadline: c.deadline})
+		if err := l.SetInventory(testProblem(), switchIDs); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		done := make(chan error, 1)
 		go func() { done <- l.Run(ctx) }()
-		for !h.said(c.want) && ctx.Err() == nil {
+		for !r.logged(c.want) && ctx.Err() == nil {
 			l.CountCall("narrow", 2)
 			time.Sleep(5 * time.Millisecond)
 		}
 		if ctx.Err() != nil {
 			t.Errorf("%q was never logged", c.want)
 		}
-		_, n := h.last()
+		_, n := r.last()
 		if (n > 0) != (c.deadline == 0) {
 			t.Errorf("%s: %d events", c.want, n)
 		}
