--- a/decide/duty/agent.go
+++ b/decide/duty/agent.go
@@ -30,7 +30,7 @@
 	stopRequested   bool
 }
 
-// hungAfterLeases is how long, in leases, a run may continue after it was told to stop
+// hungAfterLeases is how long, in leases, a run may continue after it was asked to stop
 // before it is given up.
 const hungAfterLeases = 3
 
@@ -92,8 +92,8 @@
 	return claims
 }
 
-// Stop returns in stop the claims whose runs must be told to stop now: those past their
-// deadline or no longer owned by this instance. It returns in hung those that were told
+// Stop returns in stop the claims whose runs must be asked to stop now: those past their
+// deadline or no longer owned by this instance. It returns in hung those that were asked
 // to stop hungAfterLeases leases ago and still run. These are given up: they no longer
 // count toward the limit of concurrent runs, and their duties are not started on this
 // instance until HungRunEnded.
@@ -175,6 +175,7 @@
 	uses            uint64
 }
 
+// fence is the record that a Sink keeps of a duty.
 type fence struct {
 	series, epoch, lastUse uint64
 	done                   map[int64]bool
--- a/decide/duty/duty.go
+++ b/decide/duty/duty.go
@@ -19,11 +19,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits of a State.
+// Limits of a State and of the names and loads in its entries.
 const (
 	MaxMembers = 64
 	MaxDuties  = 4096
-	MaxNameLen = 128
+	MaxNameLen = 128 // bytes
 	MaxLoad    = 1_000_000
 )
 
@@ -116,6 +116,7 @@
 	ErrInvalid = errors.New("duty: invalid specification")
 )
 
+// member is the state of an instance.
 type member struct {
 	incarnation uint64
 	leaseEnd    time.Duration // in the log's time
@@ -123,12 +124,13 @@
 	load        int // sum over its duties; an integer, so that the sum does not depend on the order
 }
 
+// dutyState is the state of a duty.
 type dutyState struct {
 	spec        Spec
 	owner       string // "": none
 	epoch       uint64
-	doneThrough int64 // all periods up to this one are done or skipped
-	doneAhead   map[int64]bool
+	doneThrough int64          // all periods up to this one are done or skipped
+	doneAhead   map[int64]bool // done periods after doneThrough
 	series      uint64
 }
 
@@ -187,7 +189,7 @@
 			return fmt.Errorf("%w: duty %q", ErrUnknown, e.Claim.Duty)
 		}
 		if e.Claim.Series == d.series { // otherwise the period number belongs to another series
-			d.markDone(e.Claim.Period, s.current(d))
+			d.markDone(e.Claim.Period, s.currentPeriod(d))
 		}
 	default:
 		return fmt.Errorf("%w: entry %T", ErrUnknown, e)
@@ -246,11 +248,11 @@
 // because part of it has passed.
 func (s *State) startSeries(d *dutyState) {
 	s.lastEpoch++
-	d.series, d.doneThrough = s.lastEpoch, s.current(d)
+	d.series, d.doneThrough = s.lastEpoch, s.currentPeriod(d)
 }
 
-// current returns the number of the period that contains the log's time.
-func (s *State) current(d *dutyState) int64 { return int64(s.now / d.spec.Period) }
+// currentPeriod returns the number of the period that contains the log's time.
+func (s *State) currentPeriod(d *dutyState) int64 { return int64(s.now / d.spec.Period) }
 
 // markDone records a period as done. A claim for a period after the next one is ignored.
 func (d *dutyState) markDone(period, current int64) {
@@ -284,7 +286,7 @@
 			m.leaseEnd = s.now + s.cfg.Lease
 		}
 		for _, d := range s.duties {
-			d.doneThrough = s.current(d)
+			d.doneThrough = s.currentPeriod(d)
 		}
 	}
 	s.now = max(s.now, min(e.Now, s.now+s.cfg.MaxStep))
@@ -304,7 +306,7 @@
 		}
 	}
 	for _, d := range s.duties {
-		d.skipMissed(s.current(d))
+		d.skipMissed(s.currentPeriod(d))
 	}
 	s.assignUnowned()
 }
@@ -337,6 +339,7 @@
 	s.members[id].live, s.members[id].load = false, 0
 }
 
+// unassign removes a duty from its owner.
 func (s *State) unassign(d *dutyState) {
 	if m := s.members[d.owner]; m != nil {
 		m.load -= d.spec.Load
@@ -436,7 +439,7 @@
 		if d.owner != id {
 			continue
 		}
-		for period := d.doneThrough + 1; period <= s.current(d); period++ {
+		for period := d.doneThrough + 1; period <= s.currentPeriod(d); period++ {
 			if !d.doneAhead[period] {
 				claims = append(claims, Claim{n, d.series, period, d.epoch})
 			}
@@ -471,7 +474,7 @@
 	var duties []Status
 	for _, n := range s.dutyNames() {
 		d := s.duties[n]
-		duties = append(duties, Status{d.spec, d.owner, d.epoch, d.doneThrough, int(s.current(d)-d.doneThrough) - len(d.doneAhead)})
+		duties = append(duties, Status{d.spec, d.owner, d.epoch, d.doneThrough, int(s.currentPeriod(d)-d.doneThrough) - len(d.doneAhead)})
 	}
 	return duties
 }
--- a/decide/duty/explore_test.go
+++ b/decide/duty/explore_test.go
@@ -100,7 +100,7 @@
 	return b.String()
 }
 
-func (m *model) majority() bool {
+func (m *model) hasMajority() bool {
 	n := 0
 	for _, in := range m.instances {
 		if in.up {
@@ -166,13 +166,13 @@
 	if _, running := in.agent.running[f.claim]; !running && !errors.Is(err, ErrAlreadyDone) {
 		return // a duplicate
 	}
-	if in.agent.RunEnded(m.now, f.claim, err) && m.majority() {
+	if in.agent.RunEnded(m.now, f.claim, err) && m.hasMajority() {
 		m.log = append(slices.Clip(m.log), Done{f.claim})
 	}
 }
 
 func (m *model) tick(unheard int) bool {
-	if !m.majority() {
+	if !m.hasMajority() {
 		return false
 	}
 	m.now += time.Second
@@ -201,7 +201,7 @@
 	for i, in := range m.instances {
 		if !in.up {
 			try(func(v *model) bool { // it restarts with nothing but the log
-				if !v.majority() {
+				if !v.hasMajority() {
 					return false
 				}
 				v.restart(i)
