--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,7 +23,7 @@
 type Server struct {
 	TokenHash  string // of the administrators' bearer token
 	Tenants    *tenant.Registry
-	Switches   func() []core.Member
+	Switches   func() []core.Switch
 	Status     func() Status
 	Reload     func() error        // reads the inventory anew, all or nothing
 	Disconnect func(tenant string) // closes a deleted tenant's connections
@@ -249,7 +249,7 @@
 	}
 	vs := []view{}
 	for _, m := range s.Switches() {
-		vs = append(vs, view{m.ID, m.Addr, m.Number, stateNames[m.State]})
+		vs = append(vs, view{m.ID, m.Addr, m.Exchange, stateNames[m.State]})
 	}
 	return http.StatusOK, map[string]any{"switches": vs}, nil
 }
--- a/internal/callapi/front.go
+++ b/internal/callapi/front.go
@@ -20,7 +20,7 @@
 // Calls is the core, as this front sees it.
 type Calls interface {
 	Offer(s *core.SetUp, from core.Caller) error
-	Leave(id uint64)
+	HangUp(id uint64)
 }
 
 // Class is what the front needs of a class of call.
@@ -310,7 +310,7 @@
 	f.tidy(s.tenant)
 	f.mu.Unlock()
 	for _, id := range gone {
-		f.Calls.Leave(id)
+		f.Calls.HangUp(id)
 	}
 }
 
@@ -345,7 +345,7 @@
 	}
 	f.mu.Unlock()
 	for _, id := range ended {
-		f.Calls.Leave(id)
+		f.Calls.HangUp(id)
 	}
 	late := time.AfterFunc(closeWait, func() {
 		f.mu.Lock()
@@ -434,8 +434,8 @@
 		why = fmt.Sprintf("call: 1 to %d bytes are wanted", maxID)
 	case !known:
 		why = fmt.Sprintf("class: %q is not known", clip(m.Class))
-	case !core.IsNumber(m.Number):
-		why = fmt.Sprintf("number: 1 to %d decimal or hexadecimal digits are wanted", core.MaxNumber)
+	case !core.IsValidNumber(m.Number):
+		why = fmt.Sprintf("number: 1 to %d decimal or hexadecimal digits are wanted", core.MaxNumberDigits)
 	case m.Dest == nil || *m.Dest < 0 || *m.Dest >= f.Dests:
 		why = "dest: a number of an exchange is wanted"
 	case m.Width < 0 || m.Width > maxWidth:
@@ -472,7 +472,7 @@
 	}
 	f.mu.Unlock()
 	if was != over {
-		f.Calls.Leave(k.core)
+		f.Calls.HangUp(k.core)
 	}
 	return nil
 }
--- a/internal/callapi/front_test.go
+++ b/internal/callapi/front_test.go
@@ -26,7 +26,7 @@
 }
 
 func (o offers) Offer(_ *core.SetUp, from core.Caller) error { o.taken <- from; return nil }
-func (o offers) Leave(uint64)                                { o.left.Add(1) }
+func (o offers) HangUp(uint64)                               { o.left.Add(1) }
 
 // newFront serves a front with the tenants "acme" and "other", whose tokens
 // are their names and "-token".
@@ -245,7 +245,7 @@
 		{"7f3a9c21e0b4d655", 0, ""},
 		{"", 1, "number:"},
 		{"47 11\n", 1, "number:"},
-		{strings.Repeat("1", core.MaxNumber+1), 1, "number:"},
+		{strings.Repeat("1", core.MaxNumberDigits+1), 1, "number:"},
 		{"4711", 4, "dest:"},
 		{"4711", -1, "dest:"},
 	} {
--- a/internal/callapi/link.go
+++ b/internal/callapi/link.go
@@ -82,9 +82,9 @@
 			return ev, errBad{err.Error()}
 		}
 	case typeRefused:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Refused, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.Outcome{Result: routing.Refused, Cause: cause}
 	case typeFailed:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Failed, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.Outcome{Result: routing.Failed, Cause: cause}
 	case typeReleased:
 		ev.Kind, ev.End.Result = trunk.End, routing.Ended
 		if m.Reason == reasonCut {
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -38,7 +38,7 @@
 type reply struct {
 	answer      bool
 	description []byte
-	end         End
+	end         Outcome
 	why         EndReason // of the end of a call that stood
 }
 
@@ -70,7 +70,7 @@
 	due := time.NewTimer(time.Until(k.Deadline.Add(-guardMargin)))
 	defer due.Stop()
 	c.tell(routing.Offered{Call: k.name, Class: k.Class, Number: k.Number, Dest: k.Dest, Width: k.Width,
-		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, AfterCut: k.Again})
+		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, AfterCut: k.AfterCut})
 
 	for {
 		// What the module wants next: a send now, or after a hold or a rest; or
@@ -88,7 +88,7 @@
 			c.opt.Observer.FinalAnswer(AnswerFailed)
 			return
 		case left:
-			c.opt.Observer.FinalAnswer(AnswerNotOwed)
+			c.opt.Observer.FinalAnswer(AnswerCallerLeft)
 			return
 		case overdue:
 			k.caller.Fail(k.ID)
@@ -114,29 +114,29 @@
 		switch {
 		case how == byCaller, how == byShutdown:
 			if err == nil {
-				l.GiveUp(k.ID)
+				l.CancelSetUp(k.ID)
 			}
 			c.tell(routing.Withdrawn{Call: k.name})
-			c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
+			c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
 			if how == byCaller {
-				c.opt.Observer.FinalAnswer(AnswerNotOwed)
+				c.opt.Observer.FinalAnswer(AnswerCallerLeft)
 				return
 			}
 			k.caller.Fail(k.ID)
 			c.opt.Observer.FinalAnswer(AnswerShutdown)
 			return
 		case errors.Is(err, ErrNotReached):
-			c.settle(k, send, sent, End{Result: routing.NotReached}, false)
+			c.settle(k, send, sent, Outcome{Result: routing.NotReached}, false)
 		case errors.Is(err, ErrNotSent):
-			c.settle(k, send, sent, End{Result: routing.NotSent}, false)
+			c.settle(k, send, sent, Outcome{Result: routing.NotSent}, false)
 		case err != nil:
-			c.settle(k, send, sent, End{Result: routing.Reset}, false)
+			c.settle(k, send, sent, Outcome{Result: routing.Reset}, false)
 		case how == byClock:
-			l.GiveUp(k.ID)
-			c.settle(k, send, sent, End{Result: routing.TimedOut}, false)
+			l.CancelSetUp(k.ID)
+			c.settle(k, send, sent, Outcome{Result: routing.TimedOut}, false)
 		case how == byModule:
-			l.GiveUp(k.ID)
-			c.settle(k, send, sent, End{Result: routing.Cancelled}, false)
+			l.CancelSetUp(k.ID)
+			c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, false)
 		case !r.answer:
 			if r.end.Result == routing.Ended {
 				r.end.Result = routing.Failed // released without an answer
@@ -146,14 +146,14 @@
 			c.tell(routing.Established{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
 			if err := k.caller.Answer(k.ID, r.description); err != nil {
 				l.Release(k.ID)
-				c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
+				c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
 				c.opt.Observer.FinalAnswer(AnswerNotDelivered)
-				c.opt.Observer.CallOver(EndNotDelivered)
+				c.opt.Observer.CallEnded(EndNotDelivered)
 				return
 			}
 			c.answeredCaller(k)
-			c.opt.Observer.FinalAnswer(AnswerStands)
-			c.opt.Observer.Attempt(routing.Ended)
+			c.opt.Observer.FinalAnswer(AnswerEstablished)
+			c.opt.Observer.AttemptEnded(routing.Ended)
 
 			// The call stands until its switch ends it or its caller hangs up.
 			select {
@@ -163,15 +163,15 @@
 				}
 				c.settle(k, send, sent, r.end, true)
 				k.caller.Release(k.ID, r.end.Result != routing.Ended)
-				c.opt.Observer.CallOver(r.why)
+				c.opt.Observer.CallEnded(r.why)
 			case <-k.ctx.Done():
-				why := EndLeftToNext
+				why := EndHandedOver
 				if !c.isShut(k) {
 					why = EndHungUp
 					l.Release(k.ID)
 				}
-				c.settle(k, send, sent, End{Result: routing.Cancelled}, true)
-				c.opt.Observer.CallOver(why)
+				c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
+				c.opt.Observer.CallEnded(why)
 			}
 			return
 		}
@@ -223,7 +223,7 @@
 	for len(k.actions) > 0 {
 		if send, ok := (<-k.actions).(routing.Send); ok {
 			k.sends++
-			c.settle(k, send, time.Now(), End{Result: routing.NotSent}, true)
+			c.settle(k, send, time.Now(), Outcome{Result: routing.NotSent}, true)
 		}
 	}
 }
@@ -309,9 +309,9 @@
 		err = errRest
 	case k.sends >= c.opt.Settings.MaxAttempts:
 		err = errSends
-	case k.Transit && m.Number != k.Dest:
+	case k.Transit && m.Exchange != k.Dest:
 		err = errRoute
-	case !c.opt.Settings.PoolMode && m.Number == c.opt.Settings.OwnExchange:
+	case !c.opt.Settings.PoolMode && m.Exchange == c.opt.Settings.OwnExchange:
 		err = errOwn
 	}
 	k.sends++ // the module counts this one, whatever becomes of it
@@ -335,10 +335,10 @@
 }
 
 // settle tells the module how an attempt ended.
-func (c *Core) settle(k *call, send routing.Send, sent time.Time, e End, over bool) {
+func (c *Core) settle(k *call, send routing.Send, sent time.Time, e Outcome, over bool) {
 	now := time.Now()
 	if !over {
-		c.opt.Observer.Attempt(e.Result)
+		c.opt.Observer.AttemptEnded(e.Result)
 	}
 	switch e.Result {
 	case routing.TimedOut, routing.Reset, routing.Cancelled:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,18 +31,18 @@
 	Dest        int
 	Width       int
 	Transit     bool
-	Again       bool      // it stood, was cut, and comes again
+	AfterCut    bool      // it stood, was cut, and comes again
 	Deadline    time.Time // when its caller gives up
 }
 
-// MaxNumber is the most digits that a number called has.
-const MaxNumber = 64
+// MaxNumberDigits is the most digits that a number called has.
+const MaxNumberDigits = 64
 
-// IsNumber says whether a text can be a number called: decimal or hexadecimal
+// IsValidNumber says whether a text can be a number called: decimal or hexadecimal
 // digits. A switch may close its connection on anything else, with every call on
 // it, so no front lets it pass.
-func IsNumber(v string) bool {
-	if v == "" || len(v) > MaxNumber {
+func IsValidNumber(v string) bool {
+	if v == "" || len(v) > MaxNumberDigits {
 		return false
 	}
 	for _, c := range []byte(v) {
@@ -71,17 +71,17 @@
 	// for a connection no longer than the context allows. Its error is one of
 	// ErrNotReached and ErrNotSent where the set-up surely never arrived.
 	SetUp(ctx context.Context, s *SetUp, until time.Time, mayGo func() bool) error
-	GiveUp(id uint64)
+	CancelSetUp(id uint64)
 	Release(id uint64)
-	// Caution makes the link verify a silent switch sooner until some time.
-	Caution(until time.Time)
-	// Unproven says whether calls that stand there may be over: the switch is silent,
+	// ProbeEarlyUntil makes the link verify a silent switch sooner until some time.
+	ProbeEarlyUntil(until time.Time)
+	// ProbeFailing says whether calls that stand there may be over: the switch is silent,
 	// and a verification failed.
-	Unproven() bool
+	ProbeFailing() bool
 	// SetDraining says whether the switch drains by the list.
 	SetDraining(yes bool)
-	// Leave says that the switch has gone: nothing new is to be opened to its address.
-	Leave()
+	// StopDialing says that the switch has gone: nothing new is to be opened to its address.
+	StopDialing()
 	Close()
 }
 
@@ -91,18 +91,18 @@
 	ErrNotSent    = errors.New("set-up not sent")
 )
 
-// Member is a switch on the list. Its id is its identity: another switch may
+// Switch is a switch on the list. Its id is its identity: another switch may
 // take the address later.
-type Member struct {
-	ID      string
-	Addr    string
-	Number  int
-	Started time.Time // zero: long ago
-	State   routing.State
+type Switch struct {
+	ID       string
+	Addr     string
+	Exchange int
+	Started  time.Time // zero: long ago
+	State    routing.State
 }
 
-// End says how a set-up or a standing call ended at its switch.
-type End struct {
+// Outcome says how a set-up or a standing call ended at its switch.
+type Outcome struct {
 	Result routing.Result
 	Cause  routing.Cause
 }
@@ -112,17 +112,17 @@
 	Settings routing.Settings
 	Seed     uint64
 	Log      *slog.Logger
-	// Open makes the link to a member, which tells the peer what it hears. It must
+	// OpenLink makes the link to a member, which tells the peer what it hears. It must
 	// not block.
-	Open func(m Member, peer *Peer) (Link, error)
-	// UnknownRelease is told of the end of a call that is not known here: it stood
+	OpenLink func(m Switch, peer *SwitchHandler) (Link, error)
+	// OnUnknownRelease is told of the end of a call that is not known here: it stood
 	// through this proxy before its restart, and its caller must hear of it.
-	UnknownRelease func(id uint64, cut bool)
-	MaxCalls       int
-	Observer       Observer // nil: nobody counts
-	// Seen, if set, is told of each call that is taken from a caller of this exchange.
+	OnUnknownRelease func(id uint64, cut bool)
+	MaxCalls         int
+	Observer         Observer // nil: nobody counts
+	// OnAccepted, if set, is told of each call that is taken from a caller of this exchange.
 	// It must not block.
-	Seen func(s *SetUp)
+	OnAccepted func(s *SetUp)
 }
 
 // Times that are the core's own.
@@ -165,7 +165,7 @@
 }
 
 type member struct {
-	Member
+	Switch
 	link     Link
 	source   string
 	graceful bool // it was removed, and its link stays until nothing stands there
@@ -249,8 +249,8 @@
 	}
 }
 
-// Plan tells the module of weights worked out ahead, valid until a time.
-func (c *Core) Plan(e routing.PlanUpdated, until time.Time) {
+// ApplyPlan tells the module of weights worked out ahead, valid until a time.
+func (c *Core) ApplyPlan(e routing.PlanUpdated, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
@@ -271,13 +271,13 @@
 	}
 	if c.calls[s.ID] != nil {
 		k.leave()
-		return ErrKnown
+		return ErrDuplicateCall
 	}
 	c.calls[s.ID], c.names[k.name] = k, k
 	delete(c.ended, s.ID)
 	c.unanswered++
-	if c.opt.Seen != nil && !s.Transit && !s.Again {
-		c.opt.Seen(s)
+	if c.opt.OnAccepted != nil && !s.Transit && !s.AfterCut {
+		c.opt.OnAccepted(s)
 	}
 	c.group.Go(func() error {
 		c.serve(k)
@@ -288,12 +288,12 @@
 
 // Errors of Offer.
 var (
-	ErrBusy  = errors.New("no room for another call")
-	ErrKnown = errors.New("the call is known already")
+	ErrBusy          = errors.New("no room for another call")
+	ErrDuplicateCall = errors.New("the call is known already")
 )
 
-// Leave tells that the caller has given its call up or hung up.
-func (c *Core) Leave(id uint64) {
+// HangUp tells that the caller has given its call up or hung up.
+func (c *Core) HangUp(id uint64) {
 	c.mu.Lock()
 	k := c.calls[id]
 	_, over := c.ended[id]
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -35,18 +35,18 @@
 	l.f.sent <- l.id + " set-up"
 	return nil
 }
-func (l fakeLink) GiveUp(uint64) { l.f.sent <- l.id + " give-up" }
+func (l fakeLink) CancelSetUp(uint64) { l.f.sent <- l.id + " give-up" }
 func (l fakeLink) Release(uint64) {
 	if l.f.stuck != nil {
 		<-l.f.stuck
 	}
 	l.f.sent <- l.id + " release"
 }
-func (l fakeLink) Caution(time.Time) {}
-func (l fakeLink) Unproven() bool    { return l.f.unproven == l.id }
-func (l fakeLink) Leave()            {}
-func (l fakeLink) SetDraining(bool)  {}
-func (l fakeLink) Close()            { l.f.sent <- "close " + l.id }
+func (l fakeLink) ProbeEarlyUntil(time.Time) {}
+func (l fakeLink) ProbeFailing() bool        { return l.f.unproven == l.id }
+func (l fakeLink) StopDialing()              {}
+func (l fakeLink) SetDraining(bool)          {}
+func (l fakeLink) Close()                    { l.f.sent <- "close " + l.id }
 
 func (f *fake) Answer(_ uint64, d []byte) error      { f.told <- "answer " + string(d); return nil }
 func (f *fake) Refuse(_ uint64, again time.Duration) { f.told <- "refused" }
@@ -61,7 +61,7 @@
 	c, err := New(t.Context(), Options{
 		Settings: routing.Settings{OwnExchange: 0, FleetSize: 2, MaxAttempts: 5, ReleaseDelay: 20 * time.Millisecond,
 			CancelAllowed: true, Classes: []routing.Class{class}},
-		Open: func(m Member, _ *Peer) (Link, error) { return fakeLink{f, m.ID}, nil }})
+		OpenLink: func(m Switch, _ *SwitchHandler) (Link, error) { return fakeLink{f, m.ID}, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +70,11 @@
 }
 
 // peerOf is a switch, listed or draining, as its link sees the core.
-func peerOf(t *testing.T, c *Core, id string) *Peer {
+func peerOf(t *testing.T, c *Core, id string) *SwitchHandler {
 	t.Helper()
 	for _, m := range c.allMembers() {
 		if m.ID == id {
-			return &Peer{c, m, id}
+			return &SwitchHandler{c, m, id}
 		}
 	}
 	t.Fatalf("no switch %s", id)
@@ -102,15 +102,15 @@
 	}
 }
 
-func list(c *Core, graceful bool, ms ...Member) {
-	c.List(List{Source: "test", Members: ms, Graceful: graceful})
+func list(c *Core, graceful bool, ms ...Switch) {
+	c.ApplyList(SwitchList{Source: "test", Switches: ms, Graceful: graceful})
 }
 
 // A dial may outlast a drain: the list is asked again just before the first
 // byte, and what may not go is not sent.
 func TestDrainDuringADialHoldsTheSetUpBack(t *testing.T) {
 	c, f := newCore(t)
-	a := Member{ID: "a", Addr: "x", Number: 1}
+	a := Switch{ID: "a", Addr: "x", Exchange: 1}
 	list(c, false, a)
 	f.before = func(mayGo func() bool) error {
 		a.State = routing.Draining
@@ -131,12 +131,12 @@
 // apart, and the old one's calls are cut without harm to the new one's.
 func TestAddressTakenByAnotherSwitch(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "old", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "old", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "old set-up")
 	peerOf(t, c, "old").Answered(1, []byte("d"))
 	f.want(t, f.told, "answer d")
-	list(c, false, Member{ID: "old", Addr: "x", Number: 1, State: routing.Removed}, Member{ID: "new", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "old", Addr: "x", Exchange: 1, State: routing.Removed}, Switch{ID: "new", Addr: "x", Exchange: 1})
 	offer(t, c, f, 2, 1)
 	f.want(t, f.sent, "new set-up")
 	f.want(t, f.told, "cut")
@@ -148,12 +148,12 @@
 // A process that the list says was started anew has lost its calls.
 func TestRestartedSwitchCutsItsCalls(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
 	peerOf(t, c, "a").Answered(1, nil)
 	f.want(t, f.told, "answer ")
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1, Started: time.Now()})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: time.Now()})
 	f.want(t, f.told, "cut")
 }
 
@@ -161,15 +161,15 @@
 // closes with the last of them.
 func TestGracefulRemovalKeepsStandingCalls(t *testing.T) {
 	c, f := newCore(t)
-	list(c, true, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, true, Switch{ID: "a", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
 	peerOf(t, c, "a").Answered(1, nil)
 	f.want(t, f.told, "answer ")
-	c.List(List{Source: "test", Full: true, Graceful: true})
+	c.ApplyList(SwitchList{Source: "test", Full: true, Graceful: true})
 	offer(t, c, f, 2, 1)
 	f.want(t, f.told, "refused")
-	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
+	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
 	f.want(t, f.told, "ended")
 	f.want(t, f.sent, "close a")
 }
@@ -177,18 +177,18 @@
 // A switch that repeats an answer or a release, or answers late, changes nothing.
 func TestRepeatsAndLateAnswers(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1}, Member{ID: "b", Addr: "y", Number: 2})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
-	if peerOf(t, c, "b").Answered(1, nil) != Late || peerOf(t, c, "a").Answered(1, nil) != Taken || peerOf(t, c, "a").Answered(1, nil) != Copy || peerOf(t, c, "a").Answered(9, nil) != Unknown {
+	if peerOf(t, c, "b").Answered(1, nil) != Late || peerOf(t, c, "a").Answered(1, nil) != Accepted || peerOf(t, c, "a").Answered(1, nil) != Duplicate || peerOf(t, c, "a").Answered(9, nil) != UnknownCall {
 		t.Error("an answer counts once, and only from where the set-up is")
 	}
 	f.want(t, f.told, "answer ")
-	peerOf(t, c, "b").Ended(1, End{Result: routing.Ended})
-	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
-	peerOf(t, c, "a").Ended(1, End{Result: routing.Ended})
+	peerOf(t, c, "b").Ended(1, Outcome{Result: routing.Ended})
+	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
+	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
 	f.want(t, f.told, "ended")
-	if err := c.Settle(t.Context(), true); err != nil {
+	if err := c.WaitForCalls(t.Context(), true); err != nil {
 		t.Fatal(err)
 	}
 	if len(f.told)+len(f.sent) > 0 {
@@ -199,18 +199,18 @@
 // After a reset the call rests before it goes again.
 func TestRestAfterReset(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
 	began := time.Now()
-	peerOf(t, c, "a").Ended(1, End{Result: routing.Reset})
+	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Reset})
 	f.want(t, f.sent, "a set-up")
 	if d := time.Since(began); d < 20*time.Millisecond {
 		t.Errorf("sent again after %v", d)
 	}
-	c.Leave(1)
+	c.HangUp(1)
 	f.want(t, f.sent, "a give-up")
-	if err := c.Settle(t.Context(), true); err != nil || len(f.told) > 0 {
+	if err := c.WaitForCalls(t.Context(), true); err != nil || len(f.told) > 0 {
 		t.Errorf("%v; a caller that left is owed nothing and heard %d words", err, len(f.told))
 	}
 }
@@ -241,9 +241,9 @@
 func TestUnknownHangUpsDoNotWaitForSwitches(t *testing.T) {
 	c, f := newCore(t)
 	f.stuck = make(chan struct{})
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	for id := range uint64(3) {
-		c.Leave(id) // hangs here if it writes itself
+		c.HangUp(id) // hangs here if it writes itself
 	}
 	close(f.stuck)
 	f.want(t, f.sent, "a release", "a release", "a release")
@@ -254,13 +254,13 @@
 func TestCloseReleasesOnlyWhatWasHungUp(t *testing.T) {
 	for _, hungUp := range []bool{true, false} {
 		c, f := newCore(t)
-		list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+		list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 		offer(t, c, f, 1, 1)
 		f.want(t, f.sent, "a set-up")
 		peerOf(t, c, "a").Answered(1, []byte("d"))
 		f.want(t, f.told, "answer d")
 		if hungUp {
-			c.Leave(1)
+			c.HangUp(1)
 		}
 		if err := c.Close(); err != nil {
 			t.Error(err)
@@ -282,7 +282,7 @@
 		if n == 0 {
 			continue // the own exchange
 		}
-		list(c, false, Member{ID: name, Addr: "x", Number: n})
+		list(c, false, Switch{ID: name, Addr: "x", Exchange: n})
 		for range 9 { // one less than the credit at the start
 			id++
 			k := newCall(c, &SetUp{ID: id, Number: "100", Dest: n, Width: 1, Deadline: time.Now().Add(15 * time.Second)}, f)
@@ -302,7 +302,7 @@
 // switches that may be gone, and leaves the rest to the next one.
 func TestUnprovenCallsEndWithTheProxy(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1}, Member{ID: "b", Addr: "y", Number: 2})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
 	for id, name := range map[uint64]string{1: "a", 2: "b"} {
 		offer(t, c, f, id, int(id))
 		f.want(t, f.sent, name+" set-up")
@@ -310,7 +310,7 @@
 		f.want(t, f.told, "answer ")
 	}
 	f.unproven = "a"
-	c.EndUnproven(t.Context())
+	c.EndUnverifiedCalls(t.Context())
 	f.want(t, f.told, "cut")
 	f.want(t, f.sent, "a release")
 	if len(f.told) > 0 {
@@ -321,14 +321,14 @@
 // Guards against set-ups that a kill finds: what is unanswered is failed before.
 func TestUnansweredCallsFailBeforeTheKill(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
-	c.Stop()
+	c.StopAccepting()
 	c.FailUnanswered()
 	f.want(t, f.sent, "a give-up")
 	f.want(t, f.told, "failed")
-	if err := c.Settle(t.Context(), true); err != nil || len(f.told) > 0 {
+	if err := c.WaitForCalls(t.Context(), true); err != nil || len(f.told) > 0 {
 		t.Errorf("%v; %d more answers", err, len(f.told))
 	}
 }
@@ -337,18 +337,18 @@
 // switch that another one's address is given to has gone, told or not.
 func TestLateListsCutWhatStoodBefore(t *testing.T) {
 	c, f := newCore(t)
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	offer(t, c, f, 1, 1)
 	f.want(t, f.sent, "a set-up")
 	restarted := time.Now()
 	time.Sleep(time.Millisecond)
 	peerOf(t, c, "a").Answered(1, nil)
 	f.want(t, f.told, "answer ")
-	list(c, false, Member{ID: "a", Addr: "x", Number: 1, Started: restarted})
+	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: restarted})
 	if _, standing := c.Counts(); standing != 1 || len(f.told) > 0 {
 		t.Fatalf("%d calls stand: one that was set up after the restart was cut", standing)
 	}
-	list(c, false, Member{ID: "b", Addr: "x", Number: 1})
+	list(c, false, Switch{ID: "b", Addr: "x", Exchange: 1})
 	f.want(t, f.told, "cut")
 	f.want(t, f.sent, "a release", "close a")
 	offer(t, c, f, 2, 1)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -8,22 +8,22 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// A List is what one source says of its switches.
-type List struct {
-	Source  string
-	Full    bool // Members are all that the source has: those it lacks have left
-	Members []Member
+// A SwitchList is what one source says of its switches.
+type SwitchList struct {
+	Source   string
+	Full     bool // Members are all that the source has: those it lacks have left
+	Switches []Switch
 	// Graceful: a switch that was removed may still run, and what stands there goes
 	// on. Otherwise it is gone, and its calls with it.
 	Graceful bool
 }
 
-// List takes a source's whole list of switches or changes to it. The module
+// ApplyList takes a source's whole list of switches or changes to it. The module
 // hears of changes only, so that the sources don't undo each other.
-func (c *Core) List(l List) {
+func (c *Core) ApplyList(l SwitchList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ms := l.Members
+	ms := l.Switches
 	if l.Full {
 		present := map[string]bool{}
 		for _, m := range ms {
@@ -31,7 +31,7 @@
 		}
 		for id, m := range c.members {
 			if m.source == l.Source && !present[id] {
-				left := m.Member
+				left := m.Switch
 				left.State = routing.Removed
 				ms = append(ms[:len(ms):len(ms)], left)
 			}
@@ -45,7 +45,7 @@
 		if !c.setMember(m, l) {
 			continue
 		}
-		e := routing.ListEntry{Host: m.ID, Exchange: m.Number, State: m.State}
+		e := routing.ListEntry{Host: m.ID, Exchange: m.Exchange, State: m.State}
 		if !m.Started.IsZero() {
 			e.Started = max(0, c.clock(m.Started))
 		}
@@ -56,15 +56,15 @@
 
 // withDisplaced puts before entries those switches as gone whose address another switch
 // has by them: it can only have it after they had gone.
-func (c *Core) withDisplaced(entries []Member, source string) []Member {
-	var gone []Member
+func (c *Core) withDisplaced(entries []Switch, source string) []Switch {
+	var gone []Switch
 	for _, e := range entries {
 		if e.State == routing.Removed {
 			continue
 		}
 		for _, m := range c.members {
-			if m.Addr == e.Addr && m.ID != e.ID && m.source == source && !listedElsewhere(entries, m.Member) {
-				displaced := m.Member
+			if m.Addr == e.Addr && m.ID != e.ID && m.source == source && !listedElsewhere(entries, m.Switch) {
+				displaced := m.Switch
 				displaced.State = routing.Removed
 				gone = append(gone, displaced)
 			}
@@ -75,14 +75,14 @@
 
 // listedElsewhere says whether entries give a switch another address, or say that it has
 // gone themselves.
-func listedElsewhere(entries []Member, m Member) bool {
-	return slices.ContainsFunc(entries, func(e Member) bool {
+func listedElsewhere(entries []Switch, m Switch) bool {
+	return slices.ContainsFunc(entries, func(e Switch) bool {
 		return e.ID == m.ID && (e.Addr != m.Addr || e.State == routing.Removed)
 	})
 }
 
 // setMember takes in one entry of a list; false if it can't be used.
-func (c *Core) setMember(m Member, l List) bool {
+func (c *Core) setMember(m Switch, l SwitchList) bool {
 	old := c.members[m.ID]
 	if old != nil && old.source != l.Source {
 		c.log.Error("a switch that another list has", "switch", m.ID, "list", l.Source, "other", old.source)
@@ -98,12 +98,12 @@
 		if !old.Started.Equal(m.Started) {
 			c.cutAll(old, EndRestarted, m.Started) // what stood there before is cut
 		}
-		old.Member = m
+		old.Switch = m
 		old.link.SetDraining(m.State == routing.Draining)
 		return true
 	}
-	added := &member{Member: m, source: l.Source}
-	link, err := c.opt.Open(m, &Peer{c, added, m.ID})
+	added := &member{Switch: m, source: l.Source}
+	link, err := c.opt.OpenLink(m, &SwitchHandler{c, added, m.ID})
 	if err != nil {
 		c.log.Error("a listed switch can't be used", "switch", m.ID, "addr", m.Addr, "error", err)
 		return false
@@ -128,7 +128,7 @@
 		c.sweepDraining()
 		return
 	}
-	m.link.Leave()
+	m.link.StopDialing()
 	time.AfterFunc(removedLinger, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -171,13 +171,13 @@
 	})
 }
 
-// Caution says that evidence is missing, as when the list of switches can't be had: the
+// ProbeEarly says that evidence is missing, as when the list of switches can't be had: the
 // links verify silent switches sooner for some time.
-func (c *Core) Caution() { c.caution(time.Now().Add(cautionFor)) }
+func (c *Core) ProbeEarly() { c.caution(time.Now().Add(cautionFor)) }
 
 func (c *Core) caution(until time.Time) {
 	for _, m := range c.allMembers() {
-		m.link.Caution(until)
+		m.link.ProbeEarlyUntil(until)
 	}
 }
 
@@ -195,14 +195,14 @@
 	return ms
 }
 
-// Members returns the switches as they are listed now, by their ids.
-func (c *Core) Members() []Member {
+// Switches returns the switches as they are listed now, by their ids.
+func (c *Core) Switches() []Switch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ms := make([]Member, 0, len(c.members))
+	ms := make([]Switch, 0, len(c.members))
 	for _, m := range c.members {
-		ms = append(ms, m.Member)
+		ms = append(ms, m.Switch)
 	}
-	slices.SortFunc(ms, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(ms, func(a, b Switch) int { return strings.Compare(a.ID, b.ID) })
 	return ms
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -7,11 +7,11 @@
 
 // The final answers.
 const (
-	AnswerStands       FinalAnswer = iota
+	AnswerEstablished  FinalAnswer = iota
 	AnswerRefused                  // turned away by the policy
 	AnswerFailed                   // failed by the policy
 	AnswerOverdue                  // failed by the core: the policy did not decide in time
-	AnswerNotOwed                  // the caller left first
+	AnswerCallerLeft               // the caller left first
 	AnswerNotDelivered             // its connection broke while it was written
 	AnswerShutdown                 // failed by the core: the proxy is about to end
 )
@@ -33,7 +33,7 @@
 	EndRemoved                       // the list says that its switch has gone
 	EndRestarted                     // the list says that its switch was started anew
 	EndShutdown                      // this proxy stops, and no other could tell its caller
-	EndLeftToNext                    // this proxy stopped; it stands on, and the next one passes its release on
+	EndHandedOver                    // this proxy stopped; it stands on, and the next one passes its release on
 	EndNotDelivered                  // its answer did not reach its caller
 )
 
@@ -55,15 +55,15 @@
 // called by several goroutines, also under the core's lock.
 type Observer interface {
 	FinalAnswer(a FinalAnswer)
-	CallOver(r EndReason)
-	Attempt(r routing.Result)
+	CallEnded(r EndReason)
+	AttemptEnded(r routing.Result)
 	SetUpHeldBack()
 }
 
 // unobserved is the Observer of a Core that has none.
 type unobserved struct{}
 
-func (unobserved) FinalAnswer(FinalAnswer) {}
-func (unobserved) CallOver(EndReason)      {}
-func (unobserved) Attempt(routing.Result)  {}
-func (unobserved) SetUpHeldBack()          {}
+func (unobserved) FinalAnswer(FinalAnswer)     {}
+func (unobserved) CallEnded(EndReason)         {}
+func (unobserved) AttemptEnded(routing.Result) {}
+func (unobserved) SetUpHeldBack()              {}
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Stop lets no new call in.
-func (c *Core) Stop() {
+// StopAccepting lets no new call in.
+func (c *Core) StopAccepting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopped = true
@@ -25,13 +25,13 @@
 	}
 }
 
-// EndUnproven ends the calls that stand at switches of which nothing was heard for some
+// EndUnverifiedCalls ends the calls that stand at switches of which nothing was heard for some
 // time, and returns once their callers were told. A proxy does so before it stops: nobody
 // else knows of these calls, and if they are over no release will say so.
-func (c *Core) EndUnproven(ctx context.Context) {
+func (c *Core) EndUnverifiedCalls(ctx context.Context) {
 	var cut []*call
 	for _, m := range c.allMembers() {
-		if m.link.Unproven() {
+		if m.link.ProbeFailing() {
 			c.mu.Lock()
 			cut = append(cut, c.cutAll(m, EndShutdown, time.Now())...)
 			c.mu.Unlock()
@@ -46,9 +46,9 @@
 	}
 }
 
-// Settle waits until no call waits for its answer, and with standing set, until
+// WaitForCalls waits until no call waits for its answer, and with standing set, until
 // none stands either.
-func (c *Core) Settle(ctx context.Context, standing bool) error {
+func (c *Core) WaitForCalls(ctx context.Context, standing bool) error {
 	for {
 		c.mu.Lock()
 		done, ch := c.unanswered == 0 && !(standing && len(c.calls) > 0), c.changed
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -29,7 +29,7 @@
 
 // Inventory is what a file holds.
 type Inventory struct {
-	Switches []core.Member
+	Switches []core.Switch
 	Tenants  []tenant.Spec
 	// Plan is what a plan needs: yards, capacities, groups, classes, shares, demand.
 	// Its switches are all of Switches; those without a capacity bear nothing.
@@ -258,7 +258,7 @@
 }
 
 func (r *reader) addSwitch(e entry) error {
-	m := core.Member{ID: e.id}
+	m := core.Switch{ID: e.id}
 	var line int
 	if m.Addr, line = e.at("address"); m.Addr == "" {
 		return r.bad(line, "address", "missing")
@@ -271,7 +271,7 @@
 	if err != nil || n < 0 {
 		return r.bad(line, "exchange", fmt.Sprintf("%q is not a whole number from 0", text))
 	}
-	m.Number = n
+	m.Exchange = n
 	status, sline := e.at("status")
 	var ok bool
 	if m.State, ok = states[status]; !ok {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -44,8 +44,8 @@
 
 func TestBothFormsReadAlike(t *testing.T) {
 	want := &Inventory{
-		Switches: []core.Member{{ID: "lot-a", Addr: "127.0.0.1:5070"},
-			{ID: "lot-b", Addr: "ws://127.0.0.1:9102/x", Number: 1, State: routing.Draining}},
+		Switches: []core.Switch{{ID: "lot-a", Addr: "127.0.0.1:5070"},
+			{ID: "lot-b", Addr: "ws://127.0.0.1:9102/x", Exchange: 1, State: routing.Draining}},
 		Tenants: []tenant.Spec{{ID: "acme", TokenSHA256: hash, MaxCalls: 5, CallsPerSecond: 2.5},
 			{ID: "other", TokenSHA256: hash2, Disabled: true}},
 		Plan: plan.Problem{Switches: []plan.Switch{{ID: "lot-a"}, {ID: "lot-b", Phase: plan.Draining}}, Tenants: []plan.Tenant{{ID: "acme", Share: 1}, {ID: "other", Share: 1}}}}
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -73,7 +73,7 @@
 	}
 	f.mu.Unlock()
 	for id := range open {
-		f.Calls.Leave(id)
+		f.Calls.HangUp(id)
 		if errors.Is(err, sig.ErrMalformed) {
 			failed := sig.WithCause(sig.Release, id, sig.CauseProtocol)
 			_ = c.send(&failed)
@@ -163,7 +163,7 @@
 		}
 		f.mu.Unlock()
 		if owner == nil || owner == c {
-			f.Calls.Leave(m.Call) // what stands may be hung up on any connection
+			f.Calls.HangUp(m.Call) // what stands may be hung up on any connection
 			c.usable()
 		}
 		_ = c.send(&sig.Message{Type: sig.Heard, Call: m.Call})
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -43,7 +43,7 @@
 // Channel follows the command channel's list of switches.
 type Channel struct {
 	Addr  string
-	List  func(core.List)
+	List  func(core.SwitchList)
 	Log   *slog.Logger
 	Count *metrics.Set
 	// Missing is called after each poll that failed: the list may be old.
@@ -61,7 +61,7 @@
 }
 
 // NewChannel makes a channel that List hears of.
-func NewChannel(addr string, list func(core.List), log *slog.Logger, count *metrics.Set) *Channel {
+func NewChannel(addr string, list func(core.SwitchList), log *slog.Logger, count *metrics.Set) *Channel {
 	var dialer net.Dialer
 	return &Channel{dial: dialer.DialContext, Addr: addr, List: list, Log: log, Count: count, Missing: func() {}, patience: pollPatience,
 		stop: func() {}, wake: make(chan struct{}, 1)}
@@ -75,7 +75,7 @@
 
 type numbered struct {
 	cursor int64
-	list   core.List
+	list   core.SwitchList
 }
 
 type events struct {
@@ -112,17 +112,17 @@
 		if cmd.Nodes == nil {
 			continue // of a kind that is not for us
 		}
-		l := core.List{Source: "channel", Full: cmd.Nodes.Complete}
+		l := core.SwitchList{Source: "channel", Full: cmd.Nodes.Complete}
 		for _, n := range cmd.Nodes.Members {
 			st, ok := phases[n.Phase]
 			if !ok || n.ID == "" {
 				return nil, fmt.Errorf("events: switch %q in phase %q", n.ID, n.Phase)
 			}
-			m := core.Member{ID: n.ID, Addr: n.Addr, Number: n.Cell, State: st}
+			m := core.Switch{ID: n.ID, Addr: n.Addr, Exchange: n.Cell, State: st}
 			if n.UpSince > 0 {
 				m.Started = time.UnixMicro(int64(n.UpSince * 1000))
 			}
-			l.Members = append(l.Members, m)
+			l.Switches = append(l.Switches, m)
 		}
 		out.lists = append(out.lists, numbered{cmd.Cursor, l})
 	}
@@ -135,7 +135,7 @@
 		if e.cursor > 0 && e.cursor <= c.cursor {
 			continue
 		}
-		c.Log.Info("list of switches", "event", e.cursor, "complete", e.list.Full, "switches", len(e.list.Members))
+		c.Log.Info("list of switches", "event", e.cursor, "complete", e.list.Full, "switches", len(e.list.Switches))
 		c.List(e.list)
 		c.cursor = max(c.cursor, e.cursor)
 	}
--- a/internal/platform/form.go
+++ b/internal/platform/form.go
@@ -50,7 +50,7 @@
 		return nil, fmt.Errorf("tenant %.40q is not known", s.Tenant)
 	case err != nil || !(wait >= 0) || math.IsInf(wait, 0):
 		return nil, fmt.Errorf("a wait of %.40q", m.Get(sig.ParamWait))
-	case !core.IsNumber(s.Number):
+	case !core.IsValidNumber(s.Number):
 		return nil, fmt.Errorf("number %.40q", s.Number)
 	case s.Description == nil:
 		return nil, errNoBody
@@ -73,7 +73,7 @@
 		case "transit":
 			s.Transit = n != 0
 		case "again":
-			s.Again = n != 0
+			s.AfterCut = n != 0
 		}
 	}
 	switch {
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -15,7 +15,7 @@
 // Calls is the core, as a front of callers sees it.
 type Calls interface {
 	Offer(s *core.SetUp, from core.Caller) error
-	Leave(id uint64)
+	HangUp(id uint64)
 }
 
 const (
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -28,7 +28,7 @@
 type offers chan core.Caller // must have room for all that a test offers
 
 func (o offers) Offer(_ *core.SetUp, from core.Caller) error { o <- from; return nil }
-func (o offers) Leave(uint64)                                {}
+func (o offers) HangUp(uint64)                               {}
 
 // newFront serves a front whose callers may be silent for the times given.
 func newFront(t *testing.T, silent, rest time.Duration) net.Conn {
@@ -356,7 +356,7 @@
 type stopped struct{}
 
 func (stopped) Offer(*core.SetUp, core.Caller) error { return core.ErrBusy }
-func (stopped) Leave(uint64)                         {}
+func (stopped) HangUp(uint64)                        {}
 
 // Guards against dials to a command channel that is cut off: they come up only with the
 // kernel's retries, which double, and kept the polls after them waiting.
--- a/internal/platform/link.go
+++ b/internal/platform/link.go
@@ -145,8 +145,8 @@
 }
 
 // end reads why a switch released a call.
-func end(m *sig.Message) (core.End, error) {
-	e := core.End{Cause: notes[string(m.Get(sig.ParamNote))]}
+func end(m *sig.Message) (core.Outcome, error) {
+	e := core.Outcome{Cause: notes[string(m.Get(sig.ParamNote))]}
 	switch cause := m.Cause(); cause {
 	case sig.CauseNoCircuit, sig.CauseCongestion:
 		e.Result = routing.Refused
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -20,9 +20,11 @@
 func (o observer) FinalAnswer(a core.FinalAnswer) {
 	o.count.FinalAnswers.WithLabelValues(a.String()).Inc()
 }
-func (o observer) CallOver(r core.EndReason) { o.count.CallEnds.WithLabelValues(r.String()).Inc() }
-func (o observer) Attempt(r routing.Result)  { o.count.Attempts.WithLabelValues(attemptResult(r)).Inc() }
-func (o observer) SetUpHeldBack()            { o.count.SetUpsHeldBack.Inc() }
+func (o observer) CallEnded(r core.EndReason) { o.count.CallEnds.WithLabelValues(r.String()).Inc() }
+func (o observer) AttemptEnded(r routing.Result) {
+	o.count.Attempts.WithLabelValues(attemptResult(r)).Inc()
+}
+func (o observer) SetUpHeldBack() { o.count.SetUpsHeldBack.Inc() }
 
 // attemptResult is the metrics label of an attempt's result.
 func attemptResult(r routing.Result) string {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -148,11 +148,11 @@
 
 	p.enter(Grace)
 	exit := time.Now().Add(p.longestDeadline() + killAfter - exitBefore)
-	p.core.Caution() // what stands at silent switches is verified before nobody knows of it
+	p.core.ProbeEarly() // what stands at silent switches is verified before nobody knows of it
 	p.serveFor(life, hup, graceFor)
 
 	p.enter(Finishing)
-	p.core.Stop()
+	p.core.StopAccepting()
 	if p.front != nil {
 		p.front.Drain()
 	}
@@ -236,18 +236,18 @@
 	}
 	answers, cancel := context.WithDeadline(life, answered)
 	defer cancel()
-	if p.core.Settle(answers, false) != nil {
+	if p.core.WaitForCalls(answers, false) != nil {
 		unanswered, _ := p.core.Counts()
 		p.log.Warn("calls failed at the end", "unanswered", unanswered)
 		p.core.FailUnanswered()
 	}
 	releases, cancel := context.WithDeadline(life, exit.Add(-unprovenFor))
 	defer cancel()
-	_ = p.core.Settle(releases, true) // what is left is told below
+	_ = p.core.WaitForCalls(releases, true) // what is left is told below
 	last, cancel := context.WithDeadline(life, exit)
 	defer cancel()
-	_ = p.core.Settle(last, false) // logged below
-	p.core.EndUnproven(last)
+	_ = p.core.WaitForCalls(last, false) // logged below
+	p.core.EndUnverifiedCalls(last)
 	if unanswered, standing := p.core.Counts(); unanswered+standing > 0 {
 		p.log.Info("calls left at the end", "unanswered", unanswered, "standing", standing)
 	}
@@ -277,8 +277,8 @@
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
 		ps.Here = set.Brain.OwnExchange
-		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.Plan(e, until) })
-		opt.Seen = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
+		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.ApplyPlan(e, until) })
+		opt.OnAccepted = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
 	}
 	if p.core, err = core.New(life, opt); err != nil {
@@ -292,8 +292,8 @@
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewChannel(pf.Channel, p.core.List, p.log, p.count)
-		p.channel.Missing = p.core.Caution
+		p.channel = platform.NewChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
+		p.channel.Missing = p.core.ProbeEarly
 		p.channel.Take(known)
 		ln, err := platform.Listen(life, pf.Listen)
 		if err != nil {
@@ -330,7 +330,7 @@
 		p.APIAddr = addr
 		closers = append(closers, p.api.Close, shut)
 		if sv.AdminListen != "" {
-			a := &admin.Server{TokenHash: sv.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Members,
+			a := &admin.Server{TokenHash: sv.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Switches,
 				Status: p.status, Reload: p.reloadInventory, Disconnect: p.api.Disconnect, Log: p.log, Metrics: p.count.Gatherer()}
 			addr, shut, err := p.listenHTTP(life, g, "admin.listen", sv.AdminListen, adminConns, a.Handler())
 			if err != nil {
@@ -351,14 +351,14 @@
 		set, opt.Seed = &pf.Settings, pf.Seed
 		bounds := pf.Bounds()
 		p.front = platform.NewFront(form(set), bounds.Conns, bounds.Open, p.log, p.count)
-		opt.UnknownRelease, opt.MaxCalls = p.front.UnknownRelease, bounds.Calls
+		opt.OnUnknownRelease, opt.MaxCalls = p.front.UnknownRelease, bounds.Calls
 	} else {
 		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
 	}
 	opt.Settings = set.Brain
 	times := trunk.Times{Dial: set.DialTimeout, Silence: set.Silence(), Rest: set.Brain.ReleaseDelay}
-	opt.Open = func(m core.Member, peer *core.Peer) (core.Link, error) {
+	opt.OpenLink = func(m core.Switch, peer *core.SwitchHandler) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
 		if inventory.IsURL(m.Addr) {
 			dial = callapi.Dial
@@ -468,12 +468,12 @@
 		return fmt.Errorf("%s: %w", p.service.Inventory, err)
 	}
 	p.cert.Store(cert)
-	p.core.List(core.List{Source: "inventory", Full: true, Members: inv.Switches, Graceful: true})
+	p.core.ApplyList(core.SwitchList{Source: "inventory", Full: true, Switches: inv.Switches, Graceful: true})
 	if p.planner != nil {
 		ids := map[int]string{}
 		for _, m := range inv.Switches {
-			if _, twice := ids[m.Number]; !twice || m.State == routing.Ready {
-				ids[m.Number] = m.ID
+			if _, twice := ids[m.Exchange]; !twice || m.State == routing.Ready {
+				ids[m.Exchange] = m.ID
 			}
 		}
 		if err := p.planner.Inventory(&inv.Plan, ids); err != nil {
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -58,7 +58,7 @@
 			t.Fatal("a proxy did not start")
 		}
 		if events != nil {
-			p.core.Plan(events[x], time.Now().Add(time.Hour))
+			p.core.ApplyPlan(events[x], time.Now().Add(time.Hour))
 		}
 		if err := world.Callers(x, p.CallAddr.String()); err != nil {
 			t.Fatal(err)
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -455,7 +455,7 @@
 		acme, _ := s.p.tenants.Get("acme")
 		now = append(now, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.front.Conns()))
 		states := map[string]string{}
-		for _, m := range s.p.core.Members() {
+		for _, m := range s.p.core.Switches() {
 			states[m.ID] = [...]string{"up", "draining", "gone"}[m.State]
 			now = append(now, states[m.ID]+" "+m.ID)
 		}
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -37,14 +37,14 @@
 
 // Up is what a link tells of its switch.
 type Up interface {
-	Answered(id uint64, description []byte) core.Verdict
-	Ended(id uint64, e core.End)
-	Group(r routing.Report)
-	// CallsOver says that what has stood at the switch since before a time is over,
+	Answered(id uint64, description []byte) core.AnswerStatus
+	Ended(id uint64, e core.Outcome)
+	GroupReported(r routing.Report)
+	// CallsEnded says that what has stood at the switch since before a time is over,
 	// though the switch did not say so.
-	CallsOver(why core.EndReason, before time.Time)
-	// EvidenceMissing says that the switch does not answer: others may not either.
-	EvidenceMissing()
+	CallsEnded(why core.EndReason, before time.Time)
+	// SwitchSilent says that the switch does not answer: others may not either.
+	SwitchSilent()
 }
 
 // pendingRelease is a release that the switch has not surely had.
@@ -59,7 +59,7 @@
 // Link keeps one connection to one switch: group states and releases come on
 // it also when nothing is sent. It implements core.Link.
 type Link struct {
-	member core.Member
+	member core.Switch
 	up     Up
 	log    *slog.Logger
 	count  *metrics.Set
@@ -96,7 +96,7 @@
 }
 
 // New makes a link and starts to connect.
-func New(ctx context.Context, m core.Member, up Up, times Times, log *slog.Logger, count *metrics.Set, dial Dial) *Link {
+func New(ctx context.Context, m core.Switch, up Up, times Times, log *slog.Logger, count *metrics.Set, dial Dial) *Link {
 	l := &Link{member: m, up: up, log: log.With("switch", m.ID, "addr", m.Addr), count: count, dial: dial, times: times,
 		turn: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, released: map[uint64]time.Time{}, standing: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
@@ -346,7 +346,7 @@
 	missing := l.detector.ProbeFailing() || v.CallsEnded
 	l.carryOut(v, err, now)
 	if missing {
-		l.up.EvidenceMissing()
+		l.up.SwitchSilent()
 	}
 	if isRefused(err) && current != nil && standing != 0 {
 		// It drains, or its process ended while it was cut off, and the reset was lost:
@@ -414,7 +414,7 @@
 		if v.State == liveness.Unreachable {
 			why = core.EndUnreachable
 		}
-		l.up.CallsOver(why, before)
+		l.up.CallsEnded(why, before)
 	}
 	l.wakeKeeper()
 }
@@ -467,14 +467,14 @@
 
 // answered passes an answer on. The call counts as standing before: it may be hung up
 // at once.
-func (l *Link) answered(s *session, id uint64, description []byte) core.Verdict {
+func (l *Link) answered(s *session, id uint64, description []byte) core.AnswerStatus {
 	l.mu.Lock()
 	s.answered(id)
 	_, before := l.standing[id]
 	l.stands(id, true)
 	l.mu.Unlock()
 	verdict := l.up.Answered(id, description)
-	if !before && (verdict == core.Unknown || verdict == core.Late) {
+	if !before && (verdict == core.UnknownCall || verdict == core.Late) {
 		l.mu.Lock()
 		l.stands(id, false)
 		l.mu.Unlock()
@@ -625,8 +625,8 @@
 	return late && now.Sub(at) < l.times.Rest
 }
 
-// GiveUp tells the switch that a set-up is given up.
-func (l *Link) GiveUp(id uint64) { l.Release(id) }
+// CancelSetUp tells the switch that a set-up is given up.
+func (l *Link) CancelSetUp(id uint64) { l.Release(id) }
 
 // Release tells the switch that a call is over: now, or without a connection,
 // first thing on the next one. Past maxPending the switch is told when it speaks
@@ -668,8 +668,8 @@
 	}
 }
 
-// Caution makes the link verify its switch sooner until some time.
-func (l *Link) Caution(until time.Time) {
+// ProbeEarlyUntil makes the link verify its switch sooner until some time.
+func (l *Link) ProbeEarlyUntil(until time.Time) {
 	l.mu.Lock()
 	l.detector.ProbeEarlyUntil(until)
 	if l.closed || len(l.standing) == 0 {
@@ -680,9 +680,9 @@
 	l.carryOut(l.detector.Check(now), nil, now)
 }
 
-// Unproven says whether calls stand there that may be over: nothing was heard of the
+// ProbeFailing says whether calls stand there that may be over: nothing was heard of the
 // switch for some time, and a verification failed.
-func (l *Link) Unproven() bool {
+func (l *Link) ProbeFailing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.detector.ProbeFailing()
@@ -695,9 +695,9 @@
 	l.detector.SetDraining(yes)
 }
 
-// Leave says that the switch has gone by the list. Nothing is dialled any more: another
+// StopDialing says that the switch has gone by the list. Nothing is dialled any more: another
 // switch may have its address.
-func (l *Link) Leave() {
+func (l *Link) StopDialing() {
 	l.mu.Lock()
 	l.leaving = true
 	l.mu.Unlock()
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -63,11 +63,11 @@
 	over chan string
 }
 
-func (l listener) Answered(uint64, []byte) core.Verdict { return core.Taken }
-func (l listener) Ended(id uint64, e core.End)          {}
-func (l listener) Group(routing.Report)                 {}
-func (l listener) EvidenceMissing()                     {}
-func (l listener) CallsOver(why core.EndReason, _ time.Time) {
+func (l listener) Answered(uint64, []byte) core.AnswerStatus { return core.Accepted }
+func (l listener) Ended(id uint64, e core.Outcome)           {}
+func (l listener) GroupReported(routing.Report)              {}
+func (l listener) SwitchSilent()                             {}
+func (l listener) CallsEnded(why core.EndReason, _ time.Time) {
 	l.over <- why.String()
 }
 
@@ -121,7 +121,7 @@
 				conns := make(chan *pipe, 64)
 				dials := -1
 				up := listener{over: make(chan string, 8)}
-				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, up, Times{Dial: 500 * time.Millisecond, Silence: time.Second, Rest: 500 * time.Millisecond},
+				l := New(t.Context(), core.Switch{ID: "s1", Addr: "addr"}, up, Times{Dial: 500 * time.Millisecond, Silence: time.Second, Rest: 500 * time.Millisecond},
 					slog.New(slog.DiscardHandler), metrics.New(), func(ctx context.Context, _ string) (Conn, error) {
 						n := dials
 						dials++
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -94,13 +94,13 @@
 	}
 	l.releaseAll(releases)
 	s.reset(open)
-	l.up.EvidenceMissing()
+	l.up.SwitchSilent()
 }
 
 // reset says that set-ups were reset with their connection.
 func (s *session) reset(open []uint64) {
 	for _, id := range open {
-		s.link.up.Ended(id, core.End{Result: routing.Reset})
+		s.link.up.Ended(id, core.Outcome{Result: routing.Reset})
 	}
 }
 
@@ -213,7 +213,7 @@
 			// The attempt was given up: what it set up is released, not passed on.
 			l.log.Debug("late answer released", "call", callName(ev.Call))
 			l.Release(ev.Call)
-		case core.Copy, core.Unknown:
+		case core.Duplicate, core.UnknownCall:
 			// A release would end a call that stands, or one of somebody else.
 			l.log.Debug("answer dropped: a copy, or of an unknown call", "call", callName(ev.Call))
 		}
@@ -222,7 +222,7 @@
 		l.up.Ended(ev.Call, ev.End)
 		_ = s.write(nil, func() error { return s.conn.AcknowledgeRelease(ev.Call) })
 	case Group:
-		l.up.Group(ev.Report)
+		l.up.GroupReported(ev.Report)
 	case Test:
 		_ = s.write(nil, func() error { return s.conn.ReplyToTest(ev.Call) })
 	}
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -74,7 +74,7 @@
 	Kind        Kind
 	Call        uint64
 	Description []byte         // of an answer
-	End         core.End       // of an end
+	End         core.Outcome   // of an end
 	Report      routing.Report // of a group's state
 	Note        error          // why something in it was skipped
 }
