--- a/routing/controller.go
+++ b/routing/controller.go
@@ -1,18 +1,19 @@
-// Package routing decides for one exchange's call controller where each call is
-// set up, when it waits and when it is turned away. Its types, events and
-// actions stand in routing/interface.go; everything that is decided stands here.
+// Package routing decides, for the proxy of one exchange, how each call is set up, when
+// it waits and when it is refused. Its types, events and actions are declared in
+// interface.go; controller.go holds all decisions.
 //
-// The ordinary path is Eisenberg's throttle as revised in the discussion of
-// his paper (A.3), turned outward. Each far processor has a count of credits
-// which starts at its cap. A first set-up spends a credit of the processor
-// that it loads first, or waits first-come in that destination's Input Buffer.
-// Each tick tests every far processor: 'processor full', a time-out, or
-// delays and reports above the mark fail the tick, no evidence passes it. A
-// pass adds K credits up to the cap, a fail adds none. What waits past the
-// hold is refused. Routes are direct first, else the destination's remembered
-// tandem, which is redrawn at random after a block. What departs from this is
-// named a departure where it stands, with what it guards against; docs/design.md
-// has the list.
+// The basic algorithm is Eisenberg's throttle as revised in the discussion of his
+// paper (A.3), applied to the processors that calls go to. Each far processor has a
+// credit counter that starts at its cap. An originating set-up, one whose call no other
+// proxy passed on, spends a credit of the first processor that it loads, or waits in the
+// Input Buffer of its destination, first come first served. Every tick tests each far
+// processor: 'processor full', a time-out, or a delay or report above the limit fails
+// the tick; without evidence it passes. A passed tick adds K credits up to the cap, a
+// failed tick adds none. A call that waits in the buffer for too long is refused. Calls
+// go direct first, else over the tandem remembered for the destination, which is drawn
+// again at random after a block. Each deviation from this algorithm is marked
+// "Departure" where it is implemented, with what it guards against; docs/design.md
+// lists them.
 package routing
 
 import (
@@ -25,217 +26,221 @@
 	"time"
 )
 
-// Tuned values. All else is derived from the settings or learned.
+// Parameters of the algorithm. All other values are derived from the settings or learned.
 const (
-	minCap       = 10   // credits: the least cap of a count
-	ticksPerGoal = 8    // ticks in the shortest goal time
-	markPerGoal  = 0.5  // the delay mark, as a share of the shortest goal time
-	holdPerGoal  = 0.4  // the hold in the Input Buffer, as a share of the call's goal time
-	tickStretch  = 1.03 // step of the tick's length toward half of the tests passing
-	tickRange    = 3    // the tick's length stays within this factor of its start
-	rateMemory   = 10 * time.Second
-	muchDearer   = 2.0 // worth a circuit and second, against another class's: it comes first
-	minWindow    = 2   // attempts out at a processor, at least
-	waysPerCall  = 0.5 // ways round that may be turned back, for each call that stands; half a block too
-	usualSkew    = 4.0 // usual traffic between two exchanges, against an equal share, at most
-	guardMost    = 4.0 // reserve of a group whose circuits are worth a call's worth, against the usual
+	minCreditCap           = 10   // credits; lower bound of every credit cap
+	ticksPerGoal           = 8    // initial number of ticks per shortest goal time
+	delayLimitPerGoal      = 0.5  // delay limit, as a share of the shortest goal time
+	bufferTimePerGoal      = 0.4  // longest wait in the Input Buffer, as a share of the call's goal time
+	tickStep               = 1.03 // factor by which a tick changes, until half of the tests pass
+	maxTickFactor          = 3    // bound of the tick length, as a factor of the initial one, both ways
+	rateTimeConstant       = 10 * time.Second
+	priorityValueRatio     = 2.0 // value per circuit-second, against another class, that gives priority
+	minWindow              = 2   // lower bound of a processor's window, in outstanding attempts
+	alternateBudgetPerCall = 0.5 // blocks allowed per established call; also refunded without a direct group
+	maxTrafficSkew         = 4.0 // bound of the usual traffic to an exchange, against an equal share
+	maxGuardFactor         = 4.0 // factor of a group's reserve where its guard is 1
 )
 
-// Controller decides for one exchange (or one front of pools). It is not safe
-// for use by several goroutines at once.
+// Controller is the routing policy of one exchange, or of one front of pools. It is not
+// safe for concurrent use.
 type Controller struct {
-	set    Settings
-	rng    *rand.Rand
-	now    time.Duration
-	out    []Action
-	goal   time.Duration // shortest goal time of all classes
-	mark   time.Duration // delays above it fail a tick
-	claims []bool        // by class: wider or much dearer than another
-	tick0  time.Duration // length of a tick before it is learned
-	wakeAt time.Duration // when the next Woken is due; 0: none asked for
-	due    time.Duration // when the next tick or hold ends
-	nextUp time.Duration // when the list is asked for again; 0: not
-
-	hosts   map[string]*far
-	fars    []*far       // every processor known, by number and host: the order of all walks
-	byNum   map[int]*far // the ready processor of each exchange
-	groups  map[int]*group
-	calls   map[string]*call
-	resting []*call // calls that wait for their release, by time
-	numbers map[string]*number
-	rate    rate    // first set-ups sent to all
-	ways    float64 // ways round that may still be turned back
-	sweep   time.Duration
-
-	version uint64 // of the last plan heard of
-	until   time.Duration
-	planned bool                    // a plan is in force
-	weights map[int]map[int]float64 // by destination and tandem
-	guards  map[int]float64         // by the exchange that the group leads to
-}
-
-// group is the trunk group (or the free agents) toward one exchange.
-type group struct {
-	free, size int // -1: not known
-	tandem     int // the remembered tandem for calls to this exchange; -1: none
-	claim      int // circuits left to a blocked call of a wide or dear class
-	claimTill  time.Duration
-	usual      rate          // first tries of callers to this exchange
-	blocks     map[int]pause // of tandems that blocked calls to this exchange
-}
-
-// far is the state of one far processor.
-type far struct {
-	host    string
-	number  int
-	state   State
-	started time.Duration
-
-	credit   float64
-	cap      float64
-	tick     time.Duration // this processor's tick length, learned under pressure
-	nextTick time.Duration
-	failed   bool    // evidence against it in this tick
-	pressed  bool    // its last tick failed
-	sent     int     // first set-ups of this tick
-	rate     rate    // first set-ups sent there
-	recent   float64 // most first set-ups of a recent passed tick
-	waiting  []*call // the Input Buffer, first come first served
-	pending  []*call // attempts out, in the order of their sends
-
-	trial pause // between trial calls while it is shut
-
-	coldLeft float64 // set-ups left of this controller's share of the cold budget
-	coldAt   time.Duration
-	loggedAt time.Duration
-}
-
-// call is the state of one call that is owed an answer or has an attempt out.
-type call struct {
-	id       string
-	class    int
-	dest     int
-	width    int
-	number   string
-	arrived  time.Duration
-	began    time.Duration // arrival of the caller's first try, as far as it is known
-	expires  time.Duration
-	transit  bool
-	owed     bool // the final answer is still ours to give
-	sends    int
-	tried    []int // exchanges that blocked it
-	at       *far  // where an attempt is out
-	sentAt   time.Duration
-	heldBy   *far // whose Input Buffer it waits in
-	restTill time.Duration
-	stood    bool
-}
-
-// number is what is known of a number called from here.
-type number struct {
-	began time.Duration // first try of the calls to it that have not stood
-	seen  time.Duration // last call to it
-	busy  pause         // between calls let through while no line is free
-}
-
-// pause is a wait that doubles each time until it is cleared.
-type pause struct{ gap, until time.Duration }
-
-func (p *pause) grow(now, first, most time.Duration) {
-	p.gap = min(max(2*p.gap, first), most)
-	p.until = now + p.gap
-}
-
-// rate is an exponentially aged rate per second.
-type rate struct {
-	v    float64
-	last time.Duration
-}
-
-func (r *rate) add(now time.Duration) {
-	r.v = r.at(now) + 1/rateMemory.Seconds()
-	r.last = now
-}
-
-func (r *rate) at(now time.Duration) float64 {
-	return r.v * math.Exp(-float64(now-r.last)/float64(rateMemory))
-}
-
-// New returns a controller, or an error that says which setting it can't serve.
-func New(s Settings, seed uint64) (*Controller, error) {
-	if len(s.Classes) == 0 {
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action
+	minGoalTime  time.Duration // shortest goal time of all classes
+	delayLimit   time.Duration // longer delays fail a tick
+	mayClaim     []bool        // by class: wider, or of much more value per circuit, than another class
+	initialTick  time.Duration // length of a tick before it is adjusted
+	timerAt      time.Duration // expiry of the timer asked for; 0: none
+	nextDeadline time.Duration // earliest end of a tick or of a wait in an Input Buffer
+	subscribeAt  time.Duration // time of the next Subscribe; 0: none
+
+	byHost          map[string]*farProcessor
+	processors      []*farProcessor       // all known, sorted by exchange and host; loops use this order
+	readyByExchange map[int]*farProcessor // the ready processor of each exchange
+	groups          map[int]*trunkGroup   // by exchange
+	calls           map[string]*callState // by call id
+	awaitingRelease []*callState          // calls that wait for the release delay, by its end
+	numbers         map[string]*calledNumber
+	sendRate        agedRate // originating set-ups to all processors
+	alternateBudget float64  // blocks still allowed on alternate routes
+	nextSweep       time.Duration
+
+	planVersion uint64 // of the last plan received
+	planUntil   time.Duration
+	planActive  bool                    // a plan is in force
+	weights     map[int]map[int]float64 // by destination and tandem
+	guards      map[int]float64         // by the exchange that the group leads to
+}
+
+// trunkGroup is the trunk group (or the free agents) toward one exchange.
+type trunkGroup struct {
+	free, size     int // circuits; -1: not known
+	tandem         int // the tandem remembered for calls to this exchange; -1: none
+	claimWidth     int // circuits that other classes leave to a blocked call
+	claimUntil     time.Duration
+	firstOfferRate agedRate        // calls to this exchange that are no redials
+	tandemBackoffs map[int]backoff // of tandems that blocked calls to this exchange
+}
+
+// farProcessor is the state of one far processor.
+type farProcessor struct {
+	host     string
+	exchange int
+	state    State
+	started  time.Duration
+
+	credit         float64
+	creditCap      float64
+	tickLength     time.Duration // adjusted under pressure
+	nextTick       time.Duration
+	tickFailed     bool         // the current tick has failed
+	lastTickFailed bool         // the last complete tick failed: the processor is under pressure
+	sentThisTick   int          // originating set-ups in this tick
+	sendRate       agedRate     // originating set-ups to this processor
+	peakSent       float64      // most originating set-ups in one passed tick, slowly decaying
+	inputBuffer    []*callState // first come first served
+	outstanding    []*callState // calls with an attempt outstanding here, in the order of their sends
+
+	trialBackoff backoff // between trial calls; zero in ordinary service
+
+	coldBudget  float64 // set-ups left of this controller's share while the processor is cold
+	coldUpdated time.Duration
+	loggedAt    time.Duration
+}
+
+// callState is the state of a call that has a pending final answer or an outstanding attempt.
+type callState struct {
+	id             string
+	class          int
+	dest           int
+	width          int
+	number         string
+	arrived        time.Duration
+	firstOfferedAt time.Duration // arrival of the caller's first try, as far as it is known
+	expires        time.Duration
+	transit        bool
+	answerPending  bool          // the controller has yet to give the final answer
+	attempts       int           // sends so far
+	blockedBy      []int         // exchanges that blocked it
+	processor      *farProcessor // has its outstanding attempt; nil: none is outstanding
+	sentAt         time.Duration
+	bufferedAt     *farProcessor // the processor whose Input Buffer it waits in; nil: none
+	notBefore      time.Duration // end of the release delay
+	established    bool
+}
+
+// calledNumber is the state of one number called from this exchange.
+type calledNumber struct {
+	firstOfferedAt time.Duration // first try of the calls to it that were not established yet
+	lastCallAt     time.Duration // 0: the next call to it is no redial
+	busyBackoff    backoff       // between calls that are let through while the number is busy
+}
+
+// backoff is an exponential backoff: each wait is twice as long as the one before,
+// until it is cleared.
+type backoff struct{ interval, until time.Duration }
+
+func (p *backoff) extend(now, initial, limit time.Duration) {
+	p.interval = min(max(2*p.interval, initial), limit)
+	p.until = now + p.interval
+}
+
+// agedRate is an exponentially decaying rate of events per second.
+type agedRate struct {
+	perSecond float64
+	updated   time.Duration
+}
+
+func (r *agedRate) add(now time.Duration) {
+	r.perSecond = r.at(now) + 1/rateTimeConstant.Seconds()
+	r.updated = now
+}
+
+func (r *agedRate) at(now time.Duration) float64 {
+	return r.perSecond * math.Exp(-float64(now-r.updated)/float64(rateTimeConstant))
+}
+
+// New returns a controller whose random draws follow from the seed. The error names the
+// setting that is missing: a class, an attempt, or the goal time or deadline of a class.
+func New(settings Settings, seed uint64) (*Controller, error) {
+	if len(settings.Classes) == 0 {
 		return nil, errors.New("settings: no class of call")
 	}
-	if s.MaxAttempts < 1 {
+	if settings.MaxAttempts < 1 {
 		return nil, errors.New("settings: no attempt is allowed for a call")
 	}
 	goal := time.Duration(math.MaxInt64)
-	for i, k := range s.Classes {
-		if k.GoalTime <= 0 || k.Deadline <= 0 {
+	for i, class := range settings.Classes {
+		if class.GoalTime <= 0 || class.Deadline <= 0 {
 			return nil, fmt.Errorf("settings: class %d has no goal time or no deadline", i)
 		}
-		goal = min(goal, k.GoalTime)
+		goal = min(goal, class.GoalTime)
 	}
-	claims := make([]bool, len(s.Classes))
-	for i, k := range s.Classes {
-		for _, o := range s.Classes {
-			claims[i] = claims[i] || k.Width > o.Width || k.density() > muchDearer*o.density()
+	mayClaim := make([]bool, len(settings.Classes))
+	for i, class := range settings.Classes {
+		for _, other := range settings.Classes {
+			mayClaim[i] = mayClaim[i] || class.Width > other.Width ||
+				class.valuePerCircuit() > priorityValueRatio*other.valuePerCircuit()
 		}
 	}
-	mark := time.Duration(markPerGoal * float64(goal))
-	if s.ResendInterval > 0 {
-		mark = min(mark, s.ResendInterval) // beyond it every waiting set-up is work again
+	delayLimit := time.Duration(delayLimitPerGoal * float64(goal))
+	if settings.ResendInterval > 0 {
+		delayLimit = min(delayLimit, settings.ResendInterval) // after it each waiting set-up is sent again
 	}
 	return &Controller{
-		set:  s,
-		rng:  rand.New(rand.NewPCG(seed, 0x7665746368)),
-		goal: goal, mark: mark, claims: claims, tick0: goal / ticksPerGoal,
-		hosts: map[string]*far{}, byNum: map[int]*far{}, groups: map[int]*group{},
-		calls: map[string]*call{}, numbers: map[string]*number{}, ways: minCap,
+		settings:    settings,
+		rng:         rand.New(rand.NewPCG(seed, 0x7665746368)),
+		minGoalTime: goal, delayLimit: delayLimit, mayClaim: mayClaim, initialTick: goal / ticksPerGoal,
+		byHost: map[string]*farProcessor{}, readyByExchange: map[int]*farProcessor{},
+		groups: map[int]*trunkGroup{}, calls: map[string]*callState{}, numbers: map[string]*calledNumber{},
+		alternateBudget: minCreditCap,
 	}, nil
 }
 
-// density is what a class is worth for each circuit and unit of time.
-func (k Class) density() float64 {
-	return k.Worth / float64(max(k.Width, 1)) / max(k.Hold.Seconds(), 1)
+// valuePerCircuit returns the worth of a call of the class per circuit and second.
+func (c Class) valuePerCircuit() float64 {
+	return c.Worth / float64(max(c.Width, 1)) / max(c.Hold.Seconds(), 1)
 }
 
-// Handle takes one event and returns what is to be done, in order. The slice
-// is valid until the next call.
+// Handle processes one event that occurred at clock time now and returns the resulting
+// actions, in order. The slice is valid until the next call.
 func (c *Controller) Handle(now time.Duration, ev Event) []Action {
 	c.now = max(now, c.now)
-	c.out = c.out[:0]
-	c.lapse()
+	c.actions = c.actions[:0]
+	c.expirePlan()
 	switch e := ev.(type) {
 	case ListUpdated:
-		c.listed(e)
+		c.updateList(e)
 	case Offered:
-		c.offered(e)
+		c.handleOffered(e)
 	case Established:
-		c.answered(c.calls[e.Call], e.Attempt, e.Delay)
+		c.handleEstablished(c.calls[e.Call], e.Attempt, e.Delay)
 	case AttemptEnded:
-		c.settled(e)
+		c.handleAttemptEnded(e)
 	case Withdrawn:
-		if k := c.calls[e.Call]; k != nil {
-			c.close(k)
+		if call := c.calls[e.Call]; call != nil {
+			c.finish(call)
 		}
 	case Reported:
-		c.report(c.hosts[e.Host], e.Report)
+		c.applyReport(c.byHost[e.Host], e.Report)
 	case PlanUpdated:
-		c.plan(e)
+		c.applyPlan(e)
 	}
-	c.runDue()
-	return c.out
+	c.runTimers()
+	return c.actions
 }
 
-func (c *Controller) act(a Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// plan takes weights worked out ahead into force.
-func (c *Controller) plan(e PlanUpdated) {
-	if e.Version <= c.version {
+// applyPlan replaces the weights and guards by those of a newer plan.
+func (c *Controller) applyPlan(e PlanUpdated) {
+	if e.Version <= c.planVersion {
 		return
 	}
-	c.version, c.until, c.planned = e.Version, e.ValidUntil, len(e.Weights)+len(e.Guards) > 0
+	c.planVersion, c.planUntil, c.planActive = e.Version, e.ValidUntil, len(e.Weights)+len(e.Guards) > 0
 	c.weights, c.guards = map[int]map[int]float64{}, map[int]float64{}
 	for _, w := range e.Weights {
 		if c.weights[w.Dest] == nil {
@@ -245,69 +250,69 @@
 			c.weights[w.Dest][w.Tandem] = w.Weight
 		}
 	}
-	for _, g := range e.Guards {
-		c.guards[g.Toward] = min(max(g.Value, 0), 1)
+	for _, guard := range e.Guards {
+		c.guards[guard.Toward] = min(max(guard.Value, 0), 1)
 	}
-	for _, g := range c.groups {
-		g.tandem = -1 // drawn before the plan was known
+	for _, group := range c.groups {
+		group.tandem = -1 // drawn without the new plan
 	}
 }
 
-// lapse ends a plan that is past its time: its loads are another day's.
-func (c *Controller) lapse() {
-	if c.planned && c.now >= c.until {
-		c.planned = false
-		c.act(Log{fmt.Sprintf("plan %d is past its time: dropped", c.version)})
+// expirePlan drops a plan at the end of its validity, since its loads are out of date.
+func (c *Controller) expirePlan() {
+	if c.planActive && c.now >= c.planUntil {
+		c.planActive = false
+		c.emit(Log{fmt.Sprintf("plan %d is past its time: dropped", c.planVersion)})
 	}
 }
 
-// runDue does what the clock alone makes due, and asks to be woken for the rest.
-func (c *Controller) runDue() {
-	for len(c.resting) > 0 && c.resting[0].restTill <= c.now {
-		k := c.resting[0]
-		c.resting = c.resting[1:]
-		if k.owed {
-			c.place(k)
+// runTimers does all work whose time has come and asks for a timer for the rest.
+func (c *Controller) runTimers() {
+	for len(c.awaitingRelease) > 0 && c.awaitingRelease[0].notBefore <= c.now {
+		call := c.awaitingRelease[0]
+		c.awaitingRelease = c.awaitingRelease[1:]
+		if call.answerPending {
+			c.route(call)
 		}
 	}
-	if c.due <= c.now {
-		c.due = math.MaxInt64
-		for _, f := range c.fars {
-			if f.state != Ready {
+	if c.nextDeadline <= c.now {
+		c.nextDeadline = math.MaxInt64
+		for _, proc := range c.processors {
+			if proc.state != Ready {
 				continue
 			}
-			c.due = min(c.due, c.expire(f))
-			if f.nextTick <= c.now {
-				c.test(f)
+			c.nextDeadline = min(c.nextDeadline, c.refuseExpired(proc))
+			if proc.nextTick <= c.now {
+				c.endTick(proc)
 			}
-			c.due = min(c.due, f.nextTick)
+			c.nextDeadline = min(c.nextDeadline, proc.nextTick)
 		}
 	}
-	next := c.due
-	if len(c.resting) > 0 {
-		next = min(next, c.resting[0].restTill)
+	next := c.nextDeadline
+	if len(c.awaitingRelease) > 0 {
+		next = min(next, c.awaitingRelease[0].notBefore)
 	}
-	if c.nextUp > c.now {
-		next = min(next, c.nextUp)
-	} else if c.nextUp > 0 {
-		c.nextUp = 0
-		c.act(Subscribe{})
+	if c.subscribeAt > c.now {
+		next = min(next, c.subscribeAt)
+	} else if c.subscribeAt > 0 {
+		c.subscribeAt = 0
+		c.emit(Subscribe{})
 	}
-	c.forget()
-	if next != math.MaxInt64 && (c.wakeAt == 0 || next < c.wakeAt || c.wakeAt <= c.now) {
-		c.wakeAt = max(next, c.now+time.Millisecond)
-		c.act(SetTimer{c.wakeAt - c.now})
+	c.dropIdleNumbers()
+	if next != math.MaxInt64 && (c.timerAt == 0 || next < c.timerAt || c.timerAt <= c.now) {
+		c.timerAt = max(next, c.now+time.Millisecond)
+		c.emit(SetTimer{c.timerAt - c.now})
 	}
 }
 
-// forget drops numbers that were not called for a good while.
-func (c *Controller) forget() {
-	if c.now < c.sweep {
+// dropIdleNumbers forgets numbers without a recent call or backoff.
+func (c *Controller) dropIdleNumbers() {
+	if c.now < c.nextSweep {
 		return
 	}
-	c.sweep = c.now + rateMemory
-	for key, n := range c.numbers {
-		if c.now > n.busy.until+rateMemory && c.now > n.seen+rateMemory {
+	c.nextSweep = c.now + rateTimeConstant
+	for key, number := range c.numbers {
+		if c.now > number.busyBackoff.until+rateTimeConstant && c.now > number.lastCallAt+rateTimeConstant {
 			delete(c.numbers, key)
 		}
 	}
@@ -315,675 +320,695 @@
 
 // ---- the list
 
-func (c *Controller) listed(e ListUpdated) {
+// updateList applies a full list or changes to it.
+func (c *Controller) updateList(e ListUpdated) {
 	if e.Failed {
-		if c.set.SubscribeRequired {
-			c.nextUp = c.now + c.goal
+		if c.settings.SubscribeRequired {
+			c.subscribeAt = c.now + c.minGoalTime
 		}
 		return
 	}
-	if c.set.SubscribeRequired && len(c.fars) == 0 {
-		c.act(Subscribe{})
+	if c.settings.SubscribeRequired && len(c.processors) == 0 {
+		c.emit(Subscribe{})
 	}
 	present := map[string]bool{}
-	for _, en := range e.Entries {
-		present[en.Host] = true
-		f := c.hosts[en.Host]
-		if f == nil {
-			f = &far{host: en.Host, cap: minCap, credit: minCap, tick: c.tick0, nextTick: c.now + c.tick0}
-			c.hosts[en.Host] = f
-			c.fars = append(c.fars, f)
-		} else if en.Started > f.started {
-			c.open(f) // it was started anew since: what was seen of it no longer counts
-		}
-		if en.Started > f.started {
-			f.coldLeft, f.coldAt = c.rng.Float64(), c.now // one each would be the fleet at once
-		}
-		f.number, f.state = en.Exchange, en.State
-		f.started = max(f.started, en.Started)
-		c.groupOf(f.number)
+	for _, entry := range e.Entries {
+		present[entry.Host] = true
+		proc := c.byHost[entry.Host]
+		if proc == nil {
+			proc = &farProcessor{host: entry.Host, creditCap: minCreditCap, credit: minCreditCap,
+				tickLength: c.initialTick, nextTick: c.now + c.initialTick}
+			c.byHost[entry.Host] = proc
+			c.processors = append(c.processors, proc)
+		} else if entry.Started > proc.started {
+			c.endTrials(proc) // it was restarted: earlier failures no longer count
+		}
+		if entry.Started > proc.started {
+			// Random, since all controllers would send at once with a budget of 1 each.
+			proc.coldBudget, proc.coldUpdated = c.rng.Float64(), c.now
+		}
+		proc.exchange, proc.state = entry.Exchange, entry.State
+		proc.started = max(proc.started, entry.Started)
+		c.groupOf(proc.exchange)
 	}
 	if e.Complete {
-		for _, f := range c.fars {
-			if !present[f.host] {
-				f.state = Removed
+		for _, proc := range c.processors {
+			if !present[proc.host] {
+				proc.state = Removed
 			}
 		}
 	}
-	c.fars = slices.DeleteFunc(c.fars, func(f *far) bool {
-		left := f.state == Removed && len(f.pending)+len(f.waiting) == 0
-		if left {
-			delete(c.hosts, f.host)
+	c.processors = slices.DeleteFunc(c.processors, func(proc *farProcessor) bool {
+		unused := proc.state == Removed && len(proc.outstanding)+len(proc.inputBuffer) == 0
+		if unused {
+			delete(c.byHost, proc.host)
 		}
-		return left
+		return unused
 	})
-	slices.SortFunc(c.fars, func(a, b *far) int {
-		return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.host, b.host))
+	slices.SortFunc(c.processors, func(a, b *farProcessor) int {
+		return cmp.Or(cmp.Compare(a.exchange, b.exchange), cmp.Compare(a.host, b.host))
 	})
-	clear(c.byNum)
-	c.due = 0
-	for _, f := range c.fars {
-		if f.state != Ready || !c.set.PoolMode && f.number == c.set.OwnExchange {
+	clear(c.readyByExchange)
+	c.nextDeadline = 0
+	for _, proc := range c.processors {
+		if proc.state != Ready || !c.settings.PoolMode && proc.exchange == c.settings.OwnExchange {
 			continue
 		}
-		if o := c.byNum[f.number]; o == nil || f.started > o.started {
-			c.byNum[f.number] = f
+		if current := c.readyByExchange[proc.exchange]; current == nil || proc.started > current.started {
+			c.readyByExchange[proc.exchange] = proc
 		}
 	}
-	for _, f := range c.fars {
-		if c.byNum[f.number] == f {
+	for _, proc := range c.processors {
+		if c.readyByExchange[proc.exchange] == proc {
 			continue
 		}
-		held := f.waiting // nothing new goes there: whoever waits is placed anew or refused
-		f.waiting = nil
-		for _, k := range held {
-			k.heldBy = nil
-			c.place(k)
+		buffered := proc.inputBuffer // the processor takes no new calls: waiting ones are rerouted or refused
+		proc.inputBuffer = nil
+		for _, call := range buffered {
+			call.bufferedAt = nil
+			c.route(call)
 		}
 	}
 }
 
-func (c *Controller) groupOf(n int) *group {
-	g := c.groups[n]
-	if g == nil {
-		g = &group{free: -1, size: -1, tandem: -1, blocks: map[int]pause{}}
-		c.groups[n] = g
+func (c *Controller) groupOf(exchange int) *trunkGroup {
+	group := c.groups[exchange]
+	if group == nil {
+		group = &trunkGroup{free: -1, size: -1, tandem: -1, tandemBackoffs: map[int]backoff{}}
+		c.groups[exchange] = group
 	}
-	return g
+	return group
 }
 
-// report takes in what came with an answer.
-func (c *Controller) report(f *far, r Report) {
-	if f == nil {
+// applyReport updates the trunk group's state and fails the tick of an overloaded processor.
+func (c *Controller) applyReport(proc *farProcessor, report Report) {
+	if proc == nil {
 		return
 	}
-	if r.Size >= 0 {
-		g := c.groupOf(f.number)
-		g.free, g.size = r.Free, r.Size
+	if report.Size >= 0 {
+		group := c.groupOf(proc.exchange)
+		group.free, group.size = report.Free, report.Size
 	}
-	// A queue counts set-ups; an exchange does about two for each that it starts.
-	perSec := 2 * max(c.rate.at(c.now), 1)
-	wait := r.QueueDelay > c.mark || r.QueueLength/perSec > c.mark.Seconds()
-	f.failed = f.failed || wait || r.Utilization >= 1 || r.Throttle > 0 // quite busy, or it asks for less
+	// The queue counts set-ups; an exchange handles about two for each that it originates.
+	perSec := 2 * max(c.sendRate.at(c.now), 1)
+	delayed := report.QueueDelay > c.delayLimit || report.QueueLength/perSec > c.delayLimit.Seconds()
+	proc.tickFailed = proc.tickFailed || delayed || report.Utilization >= 1 || report.Throttle > 0
 }
 
 // ---- the throttle
 
-// test ends a tick of one far processor: the design's test job.
-func (c *Controller) test(f *far) {
-	if len(f.pending) > 0 && c.now-f.pending[0].sentAt > c.mark {
-		f.failed = true
+// endTick ends a tick of one far processor; it is the test job of the reference algorithm.
+func (c *Controller) endTick(proc *farProcessor) {
+	if len(proc.outstanding) > 0 && c.now-proc.outstanding[0].sentAt > c.delayLimit {
+		proc.tickFailed = true
 	}
-	pass := !f.failed && !f.shut()
-	if pass {
-		f.recent = max(float64(f.sent), f.recent*0.98)
-		f.cap = max(minCap, 2*f.recent)
-		f.credit = min(f.cap, f.credit+max(float64(len(f.waiting)), 1, f.recent))
+	passed := !proc.tickFailed && !proc.onTrial()
+	if passed {
+		proc.peakSent = max(float64(proc.sentThisTick), proc.peakSent*0.98)
+		proc.creditCap = max(minCreditCap, 2*proc.peakSent)
+		proc.credit = min(proc.creditCap, proc.credit+max(float64(len(proc.inputBuffer)), 1, proc.peakSent))
 	}
-	c.stretch(f, pass)
-	f.pressed, f.failed, f.sent = !pass, false, 0
-	f.nextTick = c.now + f.tick
-	c.drain(f)
+	c.adjustTick(proc, passed)
+	proc.lastTickFailed, proc.tickFailed, proc.sentThisTick = !passed, false, 0
+	proc.nextTick = c.now + proc.tickLength
+	c.serveBuffer(proc)
 }
 
-// stretch sets the tick's length so that at very high load, with calls waiting
-// or ticks failing, about half of the tests pass: a shorter tick adds credit
-// faster. Without pressure it goes back to where it started.
-func (c *Controller) stretch(f *far, pass bool) {
+// adjustTick adjusts the tick length so that at very high load, with calls waiting or
+// ticks failing, about half of the tests pass: a shorter tick adds credit faster.
+// Without pressure the length returns to its initial value.
+func (c *Controller) adjustTick(proc *farProcessor, passed bool) {
 	switch {
-	case !pass:
-		f.tick = time.Duration(float64(f.tick) * tickStretch)
-	case len(f.waiting) > 0 || f.pressed || f.tick > c.tick0:
-		f.tick = time.Duration(float64(f.tick) / tickStretch)
-	case f.tick < c.tick0:
-		f.tick = min(c.tick0, time.Duration(float64(f.tick)*tickStretch))
+	case !passed:
+		proc.tickLength = time.Duration(float64(proc.tickLength) * tickStep)
+	case len(proc.inputBuffer) > 0 || proc.lastTickFailed || proc.tickLength > c.initialTick:
+		proc.tickLength = time.Duration(float64(proc.tickLength) / tickStep)
+	case proc.tickLength < c.initialTick:
+		proc.tickLength = min(c.initialTick, time.Duration(float64(proc.tickLength)*tickStep))
 	}
-	f.tick = min(max(f.tick, c.tick0/tickRange), c.tick0*tickRange)
+	proc.tickLength = min(max(proc.tickLength, c.initialTick/maxTickFactor), c.initialTick*maxTickFactor)
 }
 
-// expire refuses the held calls that are past their hold and says when the
-// next one will be. A tick may last longer than a call has left: the hold has
-// a clock of its own, so that every held call is answered in its time.
-func (c *Controller) expire(f *far) time.Duration {
+// refuseExpired refuses the buffered calls whose deadline has passed and returns the next
+// deadline. It doesn't wait for the end of a tick, which may come later than a call
+// must be answered.
+func (c *Controller) refuseExpired(proc *farProcessor) time.Duration {
 	next := time.Duration(math.MaxInt64)
-	for _, k := range slices.Clone(f.waiting) {
-		if end := c.holdEnd(k); end > c.now {
+	for _, call := range slices.Clone(proc.inputBuffer) {
+		if end := c.bufferDeadline(call); end > c.now {
 			next = min(next, end)
 		} else {
-			c.refuse(k) // takes it out of the buffer
+			c.refuse(call) // removes it from the buffer
 		}
 	}
 	return next
 }
 
-// drain lets held calls go, first come first served, while credit lasts.
-func (c *Controller) drain(f *far) {
-	held := f.waiting
-	f.waiting = nil
-	for _, k := range held {
-		if c.mayLoad(f) {
-			k.heldBy = nil
-			c.place(k)
+// serveBuffer routes buffered calls, first come first served, while the processor admits them.
+func (c *Controller) serveBuffer(proc *farProcessor) {
+	buffered := proc.inputBuffer
+	proc.inputBuffer = nil
+	for _, call := range buffered {
+		if c.admits(proc) {
+			call.bufferedAt = nil
+			c.route(call)
 		} else {
-			f.waiting = append(f.waiting, k)
+			proc.inputBuffer = append(proc.inputBuffer, call)
 		}
 	}
 }
 
-// holdEnd is when a held call is refused: its hold is over or its time nearly up.
-func (c *Controller) holdEnd(k *call) time.Duration {
-	hold := time.Duration(holdPerGoal * float64(c.class(k).GoalTime))
-	return min(k.arrived+hold, k.expires-c.tick0-c.set.ReleaseDelay)
+// bufferDeadline returns the time at which a buffered call is refused: the end of its longest
+// wait, or earlier if the call expires.
+func (c *Controller) bufferDeadline(call *callState) time.Duration {
+	maxWait := time.Duration(bufferTimePerGoal * float64(c.classOf(call).GoalTime))
+	return min(call.arrived+maxWait, call.expires-c.initialTick-c.settings.ReleaseDelay)
 }
 
-func (c *Controller) class(k *call) Class { return c.set.Classes[k.class] }
+func (c *Controller) classOf(call *callState) Class { return c.settings.Classes[call.class] }
 
-// mayLoad says whether a first set-up may load this processor now.
+// admits reports whether an originating set-up may be sent to this processor now.
 //
-// Departure: 'no evidence passes' would send K calls a tick into a silent or
-// crowded processor. While one is shut (see strike) one call at a time is the test
-// job, at growing gaps, until one stands within the mark. It should also hold
-// against a cut link or a dead entry of the list; chance failures cost one gap.
-func (c *Controller) mayLoad(f *far) bool {
-	if f.shut() {
-		return len(f.pending) == 0 && c.now >= f.trial.until && c.coldRoom(f)
+// Departure: passing a tick without evidence would send K calls a tick to a silent or
+// overloaded processor. While a processor is on trial (see recordFailure) it gets one call at a
+// time, with exponential backoff, until one is established within the delay limit. This also
+// guards against a broken link and a list entry of an exited process; a chance failure costs
+// one backoff interval.
+func (c *Controller) admits(proc *farProcessor) bool {
+	if proc.onTrial() {
+		return len(proc.outstanding) == 0 && c.now >= proc.trialBackoff.until && c.withinColdBudget(proc)
 	}
-	return f.credit >= 1 && len(f.pending) < c.window(f) && c.coldRoom(f)
+	return proc.credit >= 1 && len(proc.outstanding) < c.windowSize(proc) && c.withinColdBudget(proc)
 }
 
-// window is how many attempts may be out at a far processor.
+// windowSize returns how many attempts may be outstanding at a far processor.
 //
-// Departure: counts rest at their cap, so a crowd could put ten set-ups from
-// each exchange on one processor before the first test fails, and tests lag a
-// round trip. What is out is what a processor within the mark answers in time,
-// twice over; the rest wait as if short of credit. It should hold against any
-// sudden rise or slowing; it hurts where traffic to an exchange jumps from little.
-func (c *Controller) window(f *far) int {
-	least := minWindow
-	if !f.pressed {
-		least++
-	}
-	return max(least, int(math.Ceil(2*f.rate.at(c.now)*c.mark.Seconds())))
-}
-
-// coldRoom says whether a set-up may be sent to a processor that may be cold.
-// Each controller keeps to its own share of what a cold processor stands, so
-// that all together do; every kind of send counts.
-func (c *Controller) coldRoom(f *far) bool {
-	age := c.now - f.started
-	if f.started <= 0 || age >= c.set.WarmUpTime || c.set.WarmUpTime <= 0 {
+// Departure: idle credit counters are at their cap, so a crowd could put ten set-ups from
+// each exchange on one processor before the first test fails, and a test lags by a round trip.
+// The window is twice what a processor that keeps the delay limit answers within it;
+// further calls wait as if without credit. This guards against any sudden rise in load or
+// slowdown; it costs calls where traffic to an exchange rises suddenly from a low level.
+func (c *Controller) windowSize(proc *farProcessor) int {
+	floor := minWindow
+	if !proc.lastTickFailed {
+		floor++
+	}
+	return max(floor, int(math.Ceil(2*proc.sendRate.at(c.now)*c.delayLimit.Seconds())))
+}
+
+// withinColdBudget reports whether a set-up may be sent to a processor that may be cold.
+// Each controller keeps to its share of what a cold processor can take, so that all
+// together don't overload it; transit calls count too.
+func (c *Controller) withinColdBudget(proc *farProcessor) bool {
+	age := c.now - proc.started
+	if proc.started <= 0 || age >= c.settings.WarmUpTime || c.settings.WarmUpTime <= 0 {
 		return true
 	}
-	window := c.set.OverloadWindow.Seconds()
-	warm := c.set.ColdCapacity + (1-c.set.ColdCapacity)*float64(max(age, 0))/float64(c.set.WarmUpTime)
-	// A processor does two set-ups for each call that its exchange starts, and is
-	// about full then: see share.
-	perSec := c.set.OverloadFactor * warm * c.share(f)
+	window := c.settings.OverloadWindow.Seconds()
+	capacity := c.settings.ColdCapacity +
+		(1-c.settings.ColdCapacity)*float64(max(age, 0))/float64(c.settings.WarmUpTime)
+	// A processor handles two set-ups for each call that its exchange originates, and is
+	// about fully loaded then: see expectedRate.
+	perSec := c.settings.OverloadFactor * capacity * c.expectedRate(proc)
 	burst := max(1, perSec*window/2)
-	f.coldLeft = min(burst, f.coldLeft+perSec*(c.now-f.coldAt).Seconds())
-	f.coldAt = c.now
-	return f.coldLeft >= 1
+	proc.coldBudget = min(burst, proc.coldBudget+perSec*(c.now-proc.coldUpdated).Seconds())
+	proc.coldUpdated = c.now
+	return proc.coldBudget >= 1
 }
 
-// strike notes that a processor let an attempt fail. It is shut for a pause
-// that grows from the one given, or from the usual time between calls to it.
-func (c *Controller) strike(f *far, first time.Duration) {
-	f.failed = true
-	if !f.shut() {
-		c.log(f, "exchange %d sets up no call: one trial call at a time", f.number)
+// recordFailure notes that an attempt at a processor failed and puts it on trial. Its backoff
+// starts at the given interval, or at the mean time between calls to it if that is longer.
+func (c *Controller) recordFailure(proc *farProcessor, initial time.Duration) {
+	proc.tickFailed = true
+	if !proc.onTrial() {
+		c.logf(proc, "exchange %d sets up no call: one trial call at a time", proc.exchange)
 	}
-	each := time.Duration(float64(time.Second) / c.share(f))
-	f.trial.grow(c.now, max(first, each), 2*max(c.goal, each))
+	meanInterval := time.Duration(float64(time.Second) / c.expectedRate(proc))
+	proc.trialBackoff.extend(c.now, max(initial, meanInterval), 2*max(c.minGoalTime, meanInterval))
 }
 
-func (f *far) shut() bool { return f.trial.gap > 0 }
+// onTrial reports whether the processor gets one trial call at a time.
+func (proc *farProcessor) onTrial() bool { return proc.trialBackoff.interval > 0 }
 
-// share is how many first set-ups a second one controller may expect to send
-// there: half of it is alike for all of the fleet, half goes by what callers of
-// this exchange usually want there. A processor starts about as many calls as
-// end at it, so what this exchange starts is the guide to the others.
-func (c *Controller) share(f *far) float64 {
-	fair := max(c.rate.at(c.now), 1) / float64(max(c.set.FleetSize, 1))
-	return fair + min(c.groupOf(f.number).usual.at(c.now), usualSkew*fair)
+// expectedRate returns the originating set-ups per second that one controller may expect to
+// send to a processor. One half is an equal share for each controller, the other follows the
+// usual demand of this exchange's callers. A processor originates about as many
+// calls as end at it, so the rate of this exchange is an estimate for the others.
+func (c *Controller) expectedRate(proc *farProcessor) float64 {
+	equalShare := max(c.sendRate.at(c.now), 1) / float64(max(c.settings.FleetSize, 1))
+	return equalShare + min(c.groupOf(proc.exchange).firstOfferRate.at(c.now), maxTrafficSkew*equalShare)
 }
 
-// open takes a processor back into ordinary service.
-func (c *Controller) open(f *far) {
-	if f.shut() {
-		c.log(f, "exchange %d sets up calls again", f.number)
-		f.credit = min(f.credit, 1)
+// endTrials returns a processor to ordinary service.
+func (c *Controller) endTrials(proc *farProcessor) {
+	if proc.onTrial() {
+		c.logf(proc, "exchange %d sets up calls again", proc.exchange)
+		proc.credit = min(proc.credit, 1)
 	}
-	f.trial = pause{}
+	proc.trialBackoff = backoff{}
 }
 
-func (c *Controller) log(f *far, format string, args ...any) {
-	if f.loggedAt > 0 && c.now-f.loggedAt < rateMemory/2 {
+// logf emits a line on a processor, at most one per half rateTimeConstant.
+func (c *Controller) logf(proc *farProcessor, format string, args ...any) {
+	if proc.loggedAt > 0 && c.now-proc.loggedAt < rateTimeConstant/2 {
 		return
 	}
-	f.loggedAt = c.now
-	c.act(Log{fmt.Sprintf(format, args...)})
+	proc.loggedAt = c.now
+	c.emit(Log{fmt.Sprintf(format, args...)})
 }
 
 // ---- calls and routes
 
-func (c *Controller) offered(e Offered) {
+func (c *Controller) handleOffered(e Offered) {
 	if c.calls[e.Call] != nil {
 		return
 	}
-	k := &call{id: e.Call, class: min(max(e.Class, 0), len(c.set.Classes)-1), dest: e.Dest,
-		width: max(e.Width, 1), number: e.Number, arrived: c.now, began: c.now, expires: e.Expires,
-		transit: e.Transit, owed: true}
-	c.calls[k.id] = k
-	if n := c.numberOf(k); n != nil && !e.Transit {
-		again := e.Redial || !c.set.RedialsMarked && c.now < n.seen+c.class(k).Deadline
-		if again && n.seen > 0 && !e.AfterCut {
-			k.began = n.began
-		}
-		if k.began == c.now {
-			c.groupOf(k.dest).usual.add(c.now)
-		}
-		n.began, n.seen = k.began, c.now
-		if c.now < n.busy.until {
-			c.refuse(k) // no line was free there a moment ago: see busy
+	call := &callState{id: e.Call, class: min(max(e.Class, 0), len(c.settings.Classes)-1), dest: e.Dest,
+		width: max(e.Width, 1), number: e.Number, arrived: c.now, firstOfferedAt: c.now, expires: e.Expires,
+		transit: e.Transit, answerPending: true}
+	c.calls[call.id] = call
+	if number := c.numberOf(call); number != nil && !e.Transit {
+		again := e.Redial || !c.settings.RedialsMarked && c.now < number.lastCallAt+c.classOf(call).Deadline
+		if again && number.lastCallAt > 0 && !e.AfterCut {
+			call.firstOfferedAt = number.firstOfferedAt
+		}
+		if call.firstOfferedAt == c.now {
+			c.groupOf(call.dest).firstOfferRate.add(c.now)
+		}
+		number.firstOfferedAt, number.lastCallAt = call.firstOfferedAt, c.now
+		if c.now < number.busyBackoff.until {
+			c.refuse(call) // the number was busy a moment ago: see recordBusy
 			return
 		}
 	}
-	c.place(k)
+	c.route(call)
 }
 
-func (c *Controller) numberOf(k *call) *number {
-	if k.number == "" {
+func (c *Controller) numberOf(call *callState) *calledNumber {
+	if call.number == "" {
 		return nil
 	}
-	n := c.numbers[k.number]
-	if n == nil {
-		n = &number{}
-		c.numbers[k.number] = n
+	number := c.numbers[call.number]
+	if number == nil {
+		number = &calledNumber{}
+		c.numbers[call.number] = number
 	}
-	return n
+	return number
 }
 
-// late says whether a call can't stand within its goal time any more.
-func (c *Controller) late(k *call) bool {
-	return !k.transit && c.now >= k.began+c.class(k).GoalTime
+// pastGoalTime reports whether the goal time of a call has passed, counted from the caller's
+// first try.
+func (c *Controller) pastGoalTime(call *callState) bool {
+	return !call.transit && c.now >= call.firstOfferedAt+c.classOf(call).GoalTime
 }
 
-// place gives an owed call with no attempt out its next step: a send, a place
-// in an Input Buffer, or its final answer.
-func (c *Controller) place(k *call) {
-	d := c.byNum[k.dest]
-	if k.transit {
-		// A call over two groups must not crowd out two: few free circuits turn it back.
-		open := d != nil && k.sends == 0 && !d.shut() && c.coldRoom(d)
-		if open && c.room(k.dest, k.width, c.reserve(k.dest)) {
-			c.send(k, d)
+// route takes the next step for a call with a pending final answer and no outstanding attempt:
+// a send, a place in an Input Buffer, or a refusal.
+func (c *Controller) route(call *callState) {
+	dest := c.readyByExchange[call.dest]
+	if call.transit {
+		// A call over two groups must not displace two direct calls: it is turned back
+		// unless circuits beyond the reserve are free.
+		available := dest != nil && call.attempts == 0 && !dest.onTrial() && c.withinColdBudget(dest)
+		if available && c.hasCircuits(call.dest, call.width, c.trunkReserve(call.dest)) {
+			c.send(call, dest)
 		} else {
-			c.refuse(k)
+			c.refuse(call)
 		}
 		return
 	}
-	down := k.sends >= c.set.MaxAttempts || c.now >= k.expires-c.set.AnswerSlack ||
-		d == nil && !c.set.PoolMode || d != nil && d.shut() && !c.mayLoad(d)
-	if down || c.late(k) && !c.spare(k, d) {
-		c.refuse(k)
+	unroutable := call.attempts >= c.settings.MaxAttempts || c.now >= call.expires-c.settings.AnswerSlack ||
+		dest == nil && !c.settings.PoolMode || dest != nil && dest.onTrial() && !c.admits(dest)
+	if unroutable || c.pastGoalTime(call) && !c.hasSpareCapacity(call, dest) {
+		c.refuse(call)
 		return
 	}
-	if d != nil && c.room(k.dest, k.width, 0) && !slices.Contains(k.tried, k.dest) && !c.claimed(k) {
-		c.load(k, d, d)
+	if dest != nil && c.hasCircuits(call.dest, call.width, 0) &&
+		!slices.Contains(call.blockedBy, call.dest) && !c.barredByClaim(call) {
+		c.admitOrBuffer(call, dest, dest)
 		return
 	}
-	c.claim(k)
-	if t := c.tandem(k); t != nil && (c.set.PoolMode || !d.shut()) {
-		c.load(k, t, d)
+	c.claimCircuits(call)
+	if tandem := c.chooseTandem(call); tandem != nil && (c.settings.PoolMode || !dest.onTrial()) {
+		c.admitOrBuffer(call, tandem, dest)
 		return
 	}
-	c.refuse(k)
+	c.refuse(call)
 }
 
-// claim notes that a call of a wide or dear class found no room.
+// claimCircuits claims circuits for a blocked call of a class with priority.
 //
-// Departure: wide calls find their circuits together less often than narrow
-// ones, and a dear call is lost like a cheap one. For a goal time after one was
-// blocked, the other classes leave it room on that group and go round. It should
-// hold for any class blocked more than others; it hurts where callers don't come again.
-func (c *Controller) claim(k *call) {
-	if c.claims[k.class] && !c.late(k) && len(k.tried) == 0 {
-		g := c.groupOf(k.dest)
-		g.claim, g.claimTill = k.width, c.now+c.class(k).GoalTime
+// Departure: a wide call finds enough free circuits less often than a narrow one, and a call of
+// high value is lost as easily as one of low value. For a goal time after such a call was
+// blocked, the other classes leave its circuits free and use alternate routes. This guards any
+// class that is blocked more than others; it wastes circuits where callers don't redial.
+func (c *Controller) claimCircuits(call *callState) {
+	if c.mayClaim[call.class] && !c.pastGoalTime(call) && len(call.blockedBy) == 0 {
+		group := c.groupOf(call.dest)
+		group.claimWidth, group.claimUntil = call.width, c.now+c.classOf(call).GoalTime
 	}
 }
 
-// claimed says whether the last circuits are left to a call that was blocked;
-// one of a class that may claim ends the claim.
-func (c *Controller) claimed(k *call) bool {
-	g := c.groupOf(k.dest)
-	if c.claims[k.class] {
-		g.claimTill = 0
+// barredByClaim reports whether the group's last circuits are claimed for a blocked call. A
+// call of a class that may claim ends the claim.
+func (c *Controller) barredByClaim(call *callState) bool {
+	group := c.groupOf(call.dest)
+	if c.mayClaim[call.class] {
+		group.claimUntil = 0
 	}
-	return c.now < g.claimTill && !c.room(k.dest, k.width, g.claim)
+	return c.now < group.claimUntil && !c.hasCircuits(call.dest, call.width, group.claimWidth)
 }
 
-// spare says whether there is more than enough for a late call.
+// hasSpareCapacity reports whether a call past its goal time may be sent.
 //
-// Departure: to the design redials are fresh calls and spend credit twice. One
-// whose first try is past its goal time earns little and would take the
-// credit and the circuits of calls still in time, so it goes direct on what
-// they leave, or is refused. It should hold against any crowd that returns;
-// it hurts where a late call is worth nearly as much.
-func (c *Controller) spare(k *call, d *far) bool {
-	return d != nil && !d.pressed && len(d.waiting) == 0 && c.room(k.dest, k.width, c.reserve(k.dest))
-}
-
-// load sends a first set-up on credit or puts it behind those that wait.
-func (c *Controller) load(k *call, f, buffer *far) {
-	// Departure: under pressure the last place in the window is for classes that may
-	// claim circuits, before those that wait: a queue makes dear calls late first. It
-	// hurts where such calls are most of the traffic, and the others wait.
-	scarce := f.pressed && !c.claims[k.class] && len(f.pending) >= c.window(f)-1
-	turn := len(f.waiting) == 0 || k.arrived < f.waiting[0].arrived || f.pressed && c.claims[k.class]
-	if turn && !scarce && c.mayLoad(f) {
-		f.credit = max(0, f.credit-1)
-		f.sent++
-		c.rate.add(c.now)
-		f.rate.add(c.now)
-		c.send(k, f)
+// Departure: the reference algorithm treats redials as new calls, which spend credit twice. A
+// call whose first try is past its goal time earns little and would take credit and
+// circuits from calls still in time, so it goes direct on capacity that they leave, or is
+// refused. This guards against any crowd of redials; it costs where a late call is worth
+// nearly as much.
+func (c *Controller) hasSpareCapacity(call *callState, dest *farProcessor) bool {
+	return dest != nil && !dest.lastTickFailed && len(dest.inputBuffer) == 0 &&
+		c.hasCircuits(call.dest, call.width, c.trunkReserve(call.dest))
+}
+
+// admitOrBuffer sends an originating set-up if the processor admits it, else buffers the call.
+func (c *Controller) admitOrBuffer(call *callState, proc, buffer *farProcessor) {
+	// Departure: under pressure the last slot of the window is kept for classes that may claim
+	// circuits, which also pass the calls that wait, since a queue delays calls of high value
+	// first. It makes the other classes wait where such calls are most of the traffic.
+	slotKept := proc.lastTickFailed && !c.mayClaim[call.class] &&
+		len(proc.outstanding) >= c.windowSize(proc)-1
+	inTurn := len(proc.inputBuffer) == 0 || call.arrived < proc.inputBuffer[0].arrived ||
+		proc.lastTickFailed && c.mayClaim[call.class]
+	if inTurn && !slotKept && c.admits(proc) {
+		proc.credit = max(0, proc.credit-1)
+		proc.sentThisTick++
+		c.sendRate.add(c.now)
+		proc.sendRate.add(c.now)
+		c.send(call, proc)
 		return
 	}
-	if c.now >= c.holdEnd(k) {
-		c.refuse(k)
+	if c.now >= c.bufferDeadline(call) {
+		c.refuse(call)
 		return
 	}
 	if buffer == nil {
-		buffer = f
+		buffer = proc
 	}
-	k.heldBy = buffer
-	buffer.waiting = append(buffer.waiting, k)
-	c.due = min(c.due, c.holdEnd(k))
+	call.bufferedAt = buffer
+	buffer.inputBuffer = append(buffer.inputBuffer, call)
+	c.nextDeadline = min(c.nextDeadline, c.bufferDeadline(call))
 }
 
-// room says whether the group toward an exchange has so many free circuits left.
-func (c *Controller) room(n, width, reserve int) bool {
-	g := c.groupOf(n)
-	return g.free < 0 || g.free >= width+reserve
+// hasCircuits reports whether the group toward an exchange has width free circuits beyond the
+// reserve; a group of unknown state counts as free.
+func (c *Controller) hasCircuits(exchange, width, reserve int) bool {
+	group := c.groupOf(exchange)
+	return group.free < 0 || group.free >= width+reserve
 }
 
-// reserve is the number of circuits of a group that are kept for direct calls.
-func (c *Controller) reserve(n int) int {
-	if c.set.PoolMode {
+// trunkReserve returns the number of circuits of a group that are reserved for direct calls.
+func (c *Controller) trunkReserve(exchange int) int {
+	if c.settings.PoolMode {
 		return 0
 	}
-	size := max(c.groupOf(n).size, 0)
-	keep := math.Sqrt(float64(size)) / 2
-	if c.planned && len(c.guards) > 0 {
-		keep *= 1 + (guardMost-1)*c.guards[n] // what is dear to direct calls is kept for them
+	size := max(c.groupOf(exchange).size, 0)
+	reserve := math.Sqrt(float64(size)) / 2
+	if c.planActive && len(c.guards) > 0 {
+		reserve *= 1 + (maxGuardFactor-1)*c.guards[exchange] // more where direct calls need the circuits
 	}
-	return min(int(math.Ceil(keep)), size/4)
+	return min(int(math.Ceil(reserve)), size/4)
 }
 
-// tandem is the way round for a call whose direct group is full: the tandem
-// remembered for the destination, else another drawn at random. An exchange to
-// which this one has many free circuits is likely large, with room to the
-// destination too, where others have few circuits there or no group at all: the
-// draw goes by the cube of the free circuits. It hurts where all draw the same one.
+// chooseTandem returns the tandem for a call whose direct group is full: the one remembered for
+// the destination, else another drawn at random; nil if none is usable. An exchange to which this
+// one has many free circuits is likely large and has free circuits to the destination too, where
+// others have few or no group at all, so the draw is weighted by the cube of the free
+// circuits. It overloads a tandem that all exchanges draw.
 //
-// Departure: with a plan the draw goes by its weight, which knows the second leg and
-// what others send there, times the room of the own group; those that left have no
-// part in it. Tandems without a weight are drawn as above when no other will do. It
-// should hold while loads are near the plan's; it hurts when they have moved on.
-func (c *Controller) tandem(k *call) *far {
-	g := c.groupOf(k.dest)
-	var pick, best *far
-	sum, heavy := 0, 0.0
-	for _, f := range c.fars {
-		if c.ways < 1 || c.byNum[f.number] != f || f.number == k.dest || slices.Contains(k.tried, f.number) ||
-			f.shut() || f.pressed || !c.mayLoad(f) || c.now < g.blocks[f.number].until ||
-			c.set.PoolMode && !slices.Contains(c.class(k).Pools, f.number) ||
-			!c.room(f.number, k.width, c.reserve(f.number)) {
+// Departure: with a plan the draw is weighted by the plan's weight, which accounts for the second
+// leg and the traffic of other exchanges, times the free circuits of the own group; exchanges
+// that are no longer listed are left out. Tandems without a weight are drawn as above if no other
+// is usable. This is right while loads are near the plan's, and wrong once they have changed.
+func (c *Controller) chooseTandem(call *callState) *farProcessor {
+	group := c.groupOf(call.dest)
+	var pick, weighted *farProcessor
+	cubeSum, weightSum := 0, 0.0
+	for _, proc := range c.processors {
+		if c.alternateBudget < 1 || c.readyByExchange[proc.exchange] != proc || proc.exchange == call.dest ||
+			slices.Contains(call.blockedBy, proc.exchange) ||
+			proc.onTrial() || proc.lastTickFailed || !c.admits(proc) ||
+			c.now < group.tandemBackoffs[proc.exchange].until ||
+			c.settings.PoolMode && !slices.Contains(c.classOf(call).Pools, proc.exchange) ||
+			!c.hasCircuits(proc.exchange, call.width, c.trunkReserve(proc.exchange)) {
 			continue
 		}
-		if f.number == g.tandem {
-			return f
+		if proc.exchange == group.tandem {
+			return proc
 		}
-		n := max(1, c.groupOf(f.number).free)
-		if w := c.weights[k.dest][f.number]; c.planned && w > 0 {
-			if w *= float64(n); c.rng.Float64()*(heavy+w) >= heavy {
-				best = f
+		free := max(1, c.groupOf(proc.exchange).free)
+		if weight := c.weights[call.dest][proc.exchange]; c.planActive && weight > 0 {
+			if weight *= float64(free); c.rng.Float64()*(weightSum+weight) >= weightSum {
+				weighted = proc
 			}
-			heavy += w
+			weightSum += weight
 			continue
 		}
-		if sum += n * n * n; c.rng.IntN(sum) < n*n*n {
-			pick = f
+		if cubeSum += free * free * free; c.rng.IntN(cubeSum) < free*free*free {
+			pick = proc
 		}
 	}
-	if best != nil {
-		pick = best
+	if weighted != nil {
+		pick = weighted
 	}
 	if pick != nil {
-		g.tandem = pick.number
+		group.tandem = pick.exchange
 	}
 	return pick
 }
 
-// send puts an attempt out, with a time-out at the end of the call's use.
-func (c *Controller) send(k *call, f *far) {
-	f.coldLeft--
-	g := c.groupOf(f.number)
-	if g.free >= 0 {
-		g.free = max(0, g.free-k.width)
+// send sends an attempt, with a time-out at the end of the goal time if that is still ahead,
+// else when the call expires.
+func (c *Controller) send(call *callState, proc *farProcessor) {
+	proc.coldBudget--
+	group := c.groupOf(proc.exchange)
+	if group.free >= 0 {
+		group.free = max(0, group.free-call.width)
 	}
-	left := k.expires - c.now
-	if goal := k.began + c.class(k).GoalTime - c.now; !k.transit && goal > 0 {
-		left = min(left, goal)
+	timeout := call.expires - c.now
+	if goal := call.firstOfferedAt + c.classOf(call).GoalTime - c.now; !call.transit && goal > 0 {
+		timeout = min(timeout, goal)
 	}
-	k.at, k.sentAt = f, c.now
-	k.sends++
-	f.pending = append(f.pending, k)
-	c.act(Send{Call: k.id, Host: f.host, Timeout: left})
+	call.processor, call.sentAt = proc, c.now
+	call.attempts++
+	proc.outstanding = append(proc.outstanding, call)
+	c.emit(Send{Call: call.id, Host: proc.host, Timeout: timeout})
 }
 
 // ---- answers
 
-// answered takes in that an attempt is through.
-func (c *Controller) answered(k *call, attempt int, delay time.Duration) {
-	if k == nil || k.at == nil || attempt != k.sends-1 || k.stood {
+// handleEstablished processes the answer to an attempt.
+func (c *Controller) handleEstablished(call *callState, attempt int, delay time.Duration) {
+	if call == nil || call.processor == nil || attempt != call.attempts-1 || call.established {
 		return
 	}
-	f := k.at
-	c.unpend(f, k)
-	k.stood, k.owed = true, false
-	if delay > c.mark {
-		f.failed = true
+	proc := call.processor
+	c.removeOutstanding(proc, call)
+	call.established, call.answerPending = true, false
+	if delay > c.delayLimit {
+		proc.tickFailed = true
 	} else {
-		c.open(f) // a late answer does not end the trials
-		if !k.transit {
-			c.ways = min(minCap, c.ways+waysPerCall)
+		c.endTrials(proc) // only an answer within the delay limit ends them
+		if !call.transit {
+			c.alternateBudget = min(minCreditCap, c.alternateBudget+alternateBudgetPerCall)
 		}
 	}
-	c.overtaken(f, k)
-	if f.number != k.dest {
-		g := c.groupOf(k.dest)
-		g.tandem = f.number
-		delete(g.blocks, f.number)
-		if d := c.byNum[k.dest]; d != nil {
-			c.open(d)
+	c.cancelOvertaken(proc, call)
+	if proc.exchange != call.dest {
+		group := c.groupOf(call.dest)
+		group.tandem = proc.exchange
+		delete(group.tandemBackoffs, proc.exchange)
+		if dest := c.readyByExchange[call.dest]; dest != nil {
+			c.endTrials(dest)
 		}
 	}
-	if n := c.numbers[k.number]; n != nil {
-		n.busy, n.seen = pause{}, 0 // the next call to it is a first try
+	if number := c.numbers[call.number]; number != nil {
+		number.busyBackoff, number.lastCallAt = backoff{}, 0 // the next call to it is no redial
 	}
 }
 
-// overtaken calls off direct attempts that one sent clearly later has passed.
+// cancelOvertaken cancels direct attempts that were sent more than an initial tick before one
+// that is answered now.
 //
-// Departure: a processor serves in order, so they were lost on the way; their
-// calls are tried again after the release. This guards against links that lose
-// set-ups; it hurts where set-ups are not served in order.
-func (c *Controller) overtaken(f *far, k *call) {
-	for _, p := range f.pending {
-		if c.set.CancelAllowed && p.owed && !p.transit && p.dest == k.dest && f.number == k.dest &&
-			p.sentAt+c.tick0 < k.sentAt {
-			p.sentAt = c.now // called off once; its age is no evidence any more
-			c.act(Cancel{Call: p.id, Attempt: p.sends - 1})
+// Departure: a processor serves set-ups in order, so the earlier ones were lost on the way;
+// their calls are retried after the release delay. This guards against links that lose set-ups; it
+// cancels good attempts where set-ups are not served in order.
+func (c *Controller) cancelOvertaken(proc *farProcessor, answered *callState) {
+	for _, earlier := range proc.outstanding {
+		if c.settings.CancelAllowed && earlier.answerPending && !earlier.transit &&
+			earlier.dest == answered.dest && proc.exchange == answered.dest &&
+			earlier.sentAt+c.initialTick < answered.sentAt {
+			earlier.sentAt = c.now // cancel it once only; its age no longer counts as evidence
+			c.emit(Cancel{Call: earlier.id, Attempt: earlier.attempts - 1})
 		}
 	}
 }
 
-func (c *Controller) unpend(f *far, k *call) {
-	f.pending = slices.DeleteFunc(f.pending, func(p *call) bool { return p == k })
+func (c *Controller) removeOutstanding(proc *farProcessor, call *callState) {
+	proc.outstanding = slices.DeleteFunc(proc.outstanding, func(o *callState) bool { return o == call })
 }
 
-// settled takes in how an attempt ended and gives its call the next step.
-func (c *Controller) settled(e AttemptEnded) {
-	c.report(c.hosts[e.Host], e.Report)
-	k := c.calls[e.Call]
-	if k == nil || k.at == nil || e.Attempt != k.sends-1 {
+// handleAttemptEnded processes the end of an attempt and takes the next step for its call.
+func (c *Controller) handleAttemptEnded(e AttemptEnded) {
+	c.applyReport(c.byHost[e.Host], e.Report)
+	call := c.calls[e.Call]
+	if call == nil || call.processor == nil || e.Attempt != call.attempts-1 {
 		return
 	}
-	f := k.at
-	c.unpend(f, k)
-	k.at = nil
-	k.owed = k.owed && !e.CallEnded
-	if !k.stood {
-		c.learn(k, f, e)
+	proc := call.processor
+	c.removeOutstanding(proc, call)
+	call.processor = nil
+	call.answerPending = call.answerPending && !e.CallEnded
+	if !call.established {
+		c.recordOutcome(call, proc, e)
 	}
-	if !k.owed {
-		delete(c.calls, k.id)
+	if !call.answerPending {
+		delete(c.calls, call.id)
 		return
 	}
-	c.goOn(k, f, e)
+	c.continueCall(call, proc, e)
 }
 
-// learn takes the evidence of an attempt that did not stand.
-func (c *Controller) learn(k *call, f *far, e AttemptEnded) {
-	direct := f.number == k.dest
+// recordOutcome updates the state of the processors after an attempt that was not established.
+func (c *Controller) recordOutcome(call *callState, proc *farProcessor, e AttemptEnded) {
+	direct := proc.exchange == call.dest
 	switch e.Result {
 	case TimedOut:
-		f.failed = true
-		if direct && e.Delay > c.mark {
-			c.strike(f, c.goal/2)
+		proc.tickFailed = true
+		if direct && e.Delay > c.delayLimit {
+			c.recordFailure(proc, c.minGoalTime/2)
 		}
 	case NotReached:
-		c.strike(f, c.goal/2)
+		c.recordFailure(proc, c.minGoalTime/2)
 	case Refused:
 		switch e.Cause {
 		case CauseProcessorFull:
-			c.strike(f, max(c.tick0, min(e.RetryAfter, c.goal)))
+			c.recordFailure(proc, max(c.initialTick, min(e.RetryAfter, c.minGoalTime)))
 		case CauseDestinationFull:
-			if d := c.byNum[k.dest]; d != nil {
-				c.strike(d, c.tick0)
+			if dest := c.readyByExchange[call.dest]; dest != nil {
+				c.recordFailure(dest, c.initialTick)
 			}
 		default:
-			c.open(f)
+			c.endTrials(proc)
 		}
 	case Failed:
-		c.open(f)
+		c.endTrials(proc)
 		if e.Cause == CauseNumberBusy {
-			c.busy(k)
+			c.recordBusy(call)
 		}
 	}
 	if !direct && e.Result != Ended && e.Result != Failed && e.Result != NotSent {
-		c.blocked(c.groupOf(k.dest), f.number)
+		c.recordBlock(c.groupOf(call.dest), proc.exchange)
 	}
 }
 
-// blocked notes that a way round to an exchange did not work: its tandem is
-// forgotten, and rests for calls there for growing gaps.
+// recordBlock notes that a call over a tandem was blocked: the tandem is forgotten for the
+// destination and not used for it again until its backoff ends.
 //
-// Departure: ways round have a count of their own. A block spends one of it, or
-// half where no group leads there and a tandem is the ordinary way; a call that
-// stands within the mark adds to it up to the cap. At full trunk groups nearly
-// all ways round are blocked, and each block is work for two processors and
-// stands no call. It should also hold against a cut region and a slow
-// destination; it hurts where full groups are many and processors idle.
-func (c *Controller) blocked(g *group, tandem int) {
-	if g.tandem == tandem {
-		g.tandem = -1
+// Departure: alternate routes have a budget of their own. A block spends one of it, or half
+// where there is no direct group and a tandem is the ordinary route; a call established
+// within the delay limit adds to it, up to the cap. When trunk groups are full nearly all
+// alternate routes are blocked, and each block is work for two processors without establishing a
+// call. This also guards against a region that is cut off and a slow destination; it costs
+// calls where many groups are full and processors are idle.
+func (c *Controller) recordBlock(group *trunkGroup, tandem int) {
+	if group.tandem == tandem {
+		group.tandem = -1
 	}
-	p := g.blocks[tandem]
-	p.grow(c.now, c.tick0, 2*c.goal)
-	g.blocks[tandem] = p
-	if c.ways--; g.size == 0 {
-		c.ways += waysPerCall // a tandem is the ordinary way there
+	tandemBackoff := group.tandemBackoffs[tandem]
+	tandemBackoff.extend(c.now, c.initialTick, 2*c.minGoalTime)
+	group.tandemBackoffs[tandem] = tandemBackoff
+	if c.alternateBudget--; group.size == 0 {
+		c.alternateBudget += alternateBudgetPerCall // a tandem is the ordinary route
 	}
 }
 
-// busy notes that no line of a number was free.
+// recordBusy notes that every line of a number was busy.
 //
-// Departure: calls to a number that was busy are refused before they spend
-// credit, but for one at growing gaps, so that a crowd on one number does not
-// queue before ordinary calls. It should hold against any number that can't
-// take its calls; it hurts a number with a line just freed, by one gap.
-func (c *Controller) busy(k *call) {
-	if n := c.numberOf(k); n != nil {
-		n.busy.grow(c.now, c.goal/2, 4*c.goal)
+// Departure: calls to a number that was busy are refused before they spend credit, except for
+// one after each backoff interval, so that a crowd on one number does not queue ahead of
+// ordinary calls. This guards against any number that can't take its calls; a number whose
+// line was just freed waits for up to one interval.
+func (c *Controller) recordBusy(call *callState) {
+	if number := c.numberOf(call); number != nil {
+		number.busyBackoff.extend(c.now, c.minGoalTime/2, 4*c.minGoalTime)
 	}
 }
 
-// goOn decides what becomes of a call whose attempt ended without standing.
+// continueCall retries, refuses or fails a call whose attempt was not established.
 //
-// A fault in signalling says nothing of the next set-up: such a call is tried
-// again on credit. This guards against an exchange that answers a share of its
-// set-ups with faults; it is waste where all fail, up to the attempts allowed.
-func (c *Controller) goOn(k *call, f *far, e AttemptEnded) {
-	again := !k.transit && !c.late(k) && k.sends < c.set.MaxAttempts
+// A signalling fault says nothing about the next set-up, so the call is retried on credit.
+// This guards against an exchange that answers a share of its set-ups with faults; where all
+// fail it wastes set-ups, up to the attempts allowed.
+func (c *Controller) continueCall(call *callState, proc *farProcessor, e AttemptEnded) {
+	mayRetry := !call.transit && !c.pastGoalTime(call) && call.attempts < c.settings.MaxAttempts
 	switch e.Result {
 	case TimedOut, Reset, Cancelled:
-		if again && c.now+c.set.ReleaseDelay < k.expires-c.tick0 {
-			k.restTill = c.now + c.set.ReleaseDelay
-			c.resting = append(c.resting, k)
+		if mayRetry && c.now+c.settings.ReleaseDelay < call.expires-c.initialTick {
+			call.notBefore = c.now + c.settings.ReleaseDelay
+			c.awaitingRelease = append(c.awaitingRelease, call)
 			return
 		}
 	default:
 		fault := e.Result == Failed && e.Cause != CauseNumberBusy
 		blocked := e.Cause == CauseNoCircuit || e.Cause == CauseTurnedBack
-		round := f.number != k.dest && e.Result != NotSent &&
+		viaTandem := proc.exchange != call.dest && e.Result != NotSent &&
 			e.Cause != CauseDestinationFull && e.Cause != CauseNumberBusy
-		if again && (fault || blocked || round) {
-			if !fault || round {
-				k.tried = append(k.tried, f.number)
+		if mayRetry && (fault || blocked || viaTandem) {
+			if !fault || viaTandem {
+				call.blockedBy = append(call.blockedBy, proc.exchange)
 			}
-			c.place(k)
+			c.route(call)
 			return
 		}
 	}
-	if e.Result == Refused || e.Result == NotSent || k.transit {
-		c.refuse(k)
+	if e.Result == Refused || e.Result == NotSent || call.transit {
+		c.refuse(call)
 		return
 	}
-	c.act(Fail{Call: k.id})
-	c.close(k)
+	c.emit(Fail{Call: call.id})
+	c.finish(call)
 }
 
-// refuse turns a call away for good.
-func (c *Controller) refuse(k *call) {
-	if k.owed {
-		c.act(Refuse{Call: k.id, RetryAfter: c.comeBack(k)})
+// refuse gives the final answer "refused" if one is pending.
+func (c *Controller) refuse(call *callState) {
+	if call.answerPending {
+		c.emit(Refuse{Call: call.id, RetryAfter: c.retryAfter(call)})
 	}
-	c.close(k)
+	c.finish(call)
 }
 
-// comeBack says when a call that is refused now may be tried again: past the
-// pauses of its number and its exchange, and not before circuits may be free.
-func (c *Controller) comeBack(k *call) time.Duration {
-	after := c.goal / 2
-	if n := c.numbers[k.number]; n != nil {
-		after = max(after, n.busy.until-c.now)
+// retryAfter returns the time after which a call that is refused now may be redialled: after the
+// backoffs of its number and its exchange, and not before circuits may be free.
+func (c *Controller) retryAfter(call *callState) time.Duration {
+	after := c.minGoalTime / 2
+	if number := c.numbers[call.number]; number != nil {
+		after = max(after, number.busyBackoff.until-c.now)
 	}
-	if d := c.byNum[k.dest]; d != nil && d.shut() {
-		after = max(after, d.trial.until-c.now)
+	if dest := c.readyByExchange[call.dest]; dest != nil && dest.onTrial() {
+		after = max(after, dest.trialBackoff.until-c.now)
 	}
 	return after
 }
 
-// close ends what is owed; the call is kept while an attempt of it is out.
-func (c *Controller) close(k *call) {
-	k.owed = false
-	if f := k.heldBy; f != nil {
-		f.waiting = slices.DeleteFunc(f.waiting, func(w *call) bool { return w == k })
-		k.heldBy = nil
+// finish marks the final answer as given; the call is kept while an attempt is outstanding.
+func (c *Controller) finish(call *callState) {
+	call.answerPending = false
+	if proc := call.bufferedAt; proc != nil {
+		proc.inputBuffer = slices.DeleteFunc(proc.inputBuffer, func(o *callState) bool { return o == call })
+		call.bufferedAt = nil
 	}
-	if k.at == nil {
-		delete(c.calls, k.id)
+	if call.processor == nil {
+		delete(c.calls, call.id)
 	}
 }
--- a/routing/controller_test.go
+++ b/routing/controller_test.go
@@ -182,12 +182,12 @@
 
 func TestCreditIsSpentAndRefilledByPassedTicks(t *testing.T) {
 	r := newRig(t, testSettings())
-	f := r.c.hosts["h1"]
-	if f.credit != minCap {
-		t.Fatalf("credit starts at %v, want the cap %v", f.credit, minCap)
+	f := r.c.byHost["h1"]
+	if f.credit != minCreditCap {
+		t.Fatalf("credit starts at %v, want the cap %v", f.credit, minCreditCap)
 	}
 	var out []Action
-	for i := range minCap + 3 {
+	for i := range minCreditCap + 3 {
 		id := fmt.Sprint("a", i)
 		as := r.offer(id, 1)
 		out = append(out, as...)
@@ -195,10 +195,10 @@
 			r.do(Established{Call: id, Delay: 50 * ms})
 		}
 	}
-	if n := len(sends(out)); n != minCap {
-		t.Fatalf("%d first set-ups went on a full count, want %d", n, minCap)
+	if n := len(sends(out)); n != minCreditCap {
+		t.Fatalf("%d first set-ups went on a full count, want %d", n, minCreditCap)
 	}
-	if n := len(f.waiting); n != 3 {
+	if n := len(f.inputBuffer); n != 3 {
 		t.Fatalf("%d calls wait in the Input Buffer, want 3", n)
 	}
 	out = r.pass(f.nextTick - r.now)
@@ -212,8 +212,8 @@
 		t.Errorf("a passed tick let %v go, want %v first come first served", got, want)
 	}
 	r.pass(10 * time.Second)
-	if f.credit > f.cap {
-		t.Errorf("credit %v is over the cap %v", f.credit, f.cap)
+	if f.credit > f.creditCap {
+		t.Errorf("credit %v is over the cap %v", f.credit, f.creditCap)
 	}
 }
 
@@ -241,13 +241,13 @@
 	} {
 		r := newRig(t, testSettings())
 		r.offer("a", 1)
-		f := r.c.hosts["h1"]
+		f := r.c.byHost["h1"]
 		f.credit = 3
 		r.do(tc.ev)
 		before := f.credit
 		r.pass(f.nextTick - r.now)
-		if f.pressed != tc.fail {
-			t.Errorf("%s: tick failed = %v, want %v", tc.name, f.pressed, tc.fail)
+		if f.lastTickFailed != tc.fail {
+			t.Errorf("%s: tick failed = %v, want %v", tc.name, f.lastTickFailed, tc.fail)
 		}
 		if grew := f.credit > before; grew == tc.fail {
 			t.Errorf("%s: credit went from %v to %v", tc.name, before, f.credit)
@@ -259,14 +259,14 @@
 func TestEveryCallIsAnsweredOnceInItsTime(t *testing.T) {
 	for _, left := range []time.Duration{10 * ms, 60 * ms, 200 * ms, 381 * ms, 3 * time.Second} {
 		r := newRig(t, testSettings())
-		f := r.c.hosts["h1"]
-		f.credit, f.failed = 0, true
-		f.tick = 3 * r.c.tick0 // a stretched tick must not keep a call past its time
-		f.nextTick = r.now + f.tick
+		f := r.c.byHost["h1"]
+		f.credit, f.tickFailed = 0, true
+		f.tickLength = 3 * r.c.initialTick // a stretched tick must not keep a call past its time
+		f.nextTick = r.now + f.tickLength
 		end := r.now + left
 		r.do(Offered{Call: "a", Dest: 1, Width: 1, Expires: end})
 		for r.now < end && len(finals(r.acts)) == 0 {
-			f.failed = true
+			f.tickFailed = true
 			r.pass(5 * ms)
 		}
 		wantFinals(t, fmt.Sprint("held with ", left, " left"), r.acts, "a")
@@ -309,7 +309,7 @@
 func TestDrainIsKept(t *testing.T) {
 	for _, st := range []State{Draining, Removed} {
 		r := newRig(t, testSettings())
-		f := r.c.hosts["h1"]
+		f := r.c.byHost["h1"]
 		f.credit = 0
 		r.offer("held", 1)
 		as := r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, State: st}}})
@@ -330,7 +330,7 @@
 func TestColdProcessorGetsItsShare(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.serve(2, 40)
-	perSec := r.c.rate.at(r.now)
+	perSec := r.c.sendRate.at(r.now)
 	r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, Started: r.now}}})
 	n, window := 0, 2*time.Second
 	for i := range 100 {
@@ -385,14 +385,14 @@
 // A crowd on one number with few lines must not spend its exchange's credit.
 func TestBusyNumberDoesNotDrainCredit(t *testing.T) {
 	r := newRig(t, testSettings())
-	f := r.c.hosts["h1"]
+	f := r.c.byHost["h1"]
 	r.do(Offered{Call: "x0", Dest: 1, Width: 1, Number: "hot", Expires: r.now + 3*time.Second})
 	r.settle("x0", 1, 0, Failed, CauseNumberBusy)
 	for i := range 30 {
 		r.do(Offered{Call: fmt.Sprint("x", i+1), Dest: 1, Width: 1, Number: "hot", Expires: r.now + 3*time.Second})
 	}
-	if f.credit < minCap-1 {
-		t.Errorf("credit is %v after a crowd on a busy number, want about %v", f.credit, minCap)
+	if f.credit < minCreditCap-1 {
+		t.Errorf("credit is %v after a crowd on a busy number, want about %v", f.credit, minCreditCap)
 	}
 	wantSends(t, "an ordinary call", r.offer("a", 1), "h1")
 	r.do(Established{Call: "a", Delay: 50 * ms})
@@ -427,26 +427,26 @@
 // After any trouble credit and tick length go back to where they were.
 func TestRecovery(t *testing.T) {
 	r := newRig(t, testSettings())
-	f := r.c.hosts["h1"]
+	f := r.c.byHost["h1"]
 	for i := range 60 {
 		r.offer(fmt.Sprint("a", i), 1)
-		for len(f.pending) > 0 {
-			r.do(Established{Call: f.pending[0].id, Delay: 2 * time.Second})
+		for len(f.outstanding) > 0 {
+			r.do(Established{Call: f.outstanding[0].id, Delay: 2 * time.Second})
 		}
 		r.pass(50 * ms)
 	}
-	if f.credit > 3 || f.tick <= r.c.tick0 {
-		t.Fatalf("under slow answers: credit %v, tick %v; want few and a longer one than %v", f.credit, f.tick, r.c.tick0)
+	if f.credit > 3 || f.tickLength <= r.c.initialTick {
+		t.Fatalf("under slow answers: credit %v, tick %v; want few and a longer one than %v", f.credit, f.tickLength, r.c.initialTick)
 	}
-	for len(f.pending)+len(f.waiting) > 0 {
-		for len(f.pending) > 0 {
-			r.do(Established{Call: f.pending[0].id, Delay: 2 * time.Second})
+	for len(f.outstanding)+len(f.inputBuffer) > 0 {
+		for len(f.outstanding) > 0 {
+			r.do(Established{Call: f.outstanding[0].id, Delay: 2 * time.Second})
 		}
 		r.pass(50 * ms)
 	}
 	r.pass(30 * time.Second)
-	if f.credit < f.cap || f.pressed || f.tick > r.c.tick0 {
-		t.Errorf("30 s after: credit %v of %v, pressed %v, tick %v", f.credit, f.cap, f.pressed, f.tick)
+	if f.credit < f.creditCap || f.lastTickFailed || f.tickLength > r.c.initialTick {
+		t.Errorf("30 s after: credit %v of %v, pressed %v, tick %v", f.credit, f.creditCap, f.lastTickFailed, f.tickLength)
 	}
 }
 
@@ -622,7 +622,7 @@
 func TestSurgeIsKeptToAWindow(t *testing.T) {
 	r := newRig(t, testSettings())
 	var out []Action
-	for i := range minCap {
+	for i := range minCreditCap {
 		out = append(out, r.offer(fmt.Sprint("a", i), 1)...)
 	}
 	n := len(sends(out))
@@ -632,13 +632,13 @@
 	for i := range n {
 		r.do(Established{Call: fmt.Sprint("a", i), Delay: 50 * ms})
 	}
-	if got := sends(r.pass(r.c.tick0)); len(got) == 0 {
+	if got := sends(r.pass(r.c.initialTick)); len(got) == 0 {
 		t.Error("answered attempts made no room for those that wait")
 	}
 	r.circuits(2, 400, 400)
 	r.serve(2, 100) // twenty calls a second
 	out = nil
-	for i := range minCap {
+	for i := range minCreditCap {
 		out = append(out, r.offer(fmt.Sprint("b", i), 2)...)
 	}
 	if m := len(sends(out)); m <= n {
@@ -668,16 +668,16 @@
 	s := testSettings()
 	s.Classes[1].Width = 1
 	r := newRig(t, s)
-	f := r.c.hosts["h1"]
-	f.pressed = true
+	f := r.c.byHost["h1"]
+	f.lastTickFailed = true
 	as := append(r.offer("a", 1), r.offer("b", 1)...)
 	wantSends(t, "ordinary calls", as, "h1")
 	dear := r.do(Offered{Call: "d", Class: 1, Dest: 1, Width: 1, Expires: r.now + 3*time.Second})
 	wantSends(t, "a dear call", dear, "h1")
 	r.do(Established{Call: "a", Delay: 50 * ms})
 	r.do(Established{Call: "d", Delay: 50 * ms})
-	f.pressed = false
-	wantSends(t, "those that waited, first come first served", r.pass(r.c.tick0), "h1")
+	f.lastTickFailed = false
+	wantSends(t, "those that waited, first come first served", r.pass(r.c.initialTick), "h1")
 }
 
 // A further try of a caller whose goal time is over takes only what calls
@@ -823,13 +823,13 @@
 	wantFinals(t, "a large fleet, within the pause", big.offer("b", 1), "b")
 	big.pass(20 * time.Second)
 	wantSends(t, "a large fleet, after the pause", big.offer("c", 1), "h1")
-	big.do(Established{Call: "c", Delay: big.c.mark + ms})
-	if !big.c.hosts["h1"].shut() {
+	big.do(Established{Call: "c", Delay: big.c.delayLimit + ms})
+	if !big.c.byHost["h1"].onTrial() {
 		t.Error("a late answer ended the trials")
 	}
 	big.offer("d", 1)
 	big.do(Established{Call: "d", Delay: 50 * ms})
-	if big.c.hosts["h1"].shut() {
+	if big.c.byHost["h1"].onTrial() {
 		t.Error("an answer within the mark did not end the trials")
 	}
 }
@@ -892,7 +892,7 @@
 		if size < 0 {
 			r.c.groupOf(2).size = -1
 		}
-		if got := r.c.reserve(2); got != want {
+		if got := r.c.trunkReserve(2); got != want {
 			t.Errorf("reserve of a group of %d: %d, want %d", size, got, want)
 		}
 	}
@@ -931,7 +931,7 @@
 		r.do(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, Started: r.now}}})
 	}
 	s := testSettings()
-	perSec := rigs[0].c.rate.at(rigs[0].now)
+	perSec := rigs[0].c.sendRate.at(rigs[0].now)
 	budget := s.OverloadFactor * s.ColdCapacity * 2 * perSec * s.OverloadWindow.Seconds()
 	sent := 0
 	for n := range int(s.OverloadWindow / (100 * ms)) {
@@ -981,12 +981,12 @@
 	used := sends(r.offer("a", 1))
 	var n int
 	fmt.Sscanf(used[0], "h%d", &n)
-	before := r.c.ways
+	before := r.c.alternateBudget
 	if got := sends(r.settle("a", n, 0, NotSent, CauseNoCircuit)); len(got) != 1 || got[0] == used[0] {
 		t.Errorf("after an unsent attempt over %v: sent to %v, want another", used, got)
 	}
-	if r.c.ways != before {
-		t.Errorf("an unsent attempt took the count of ways round from %v to %v", before, r.c.ways)
+	if r.c.alternateBudget != before {
+		t.Errorf("an unsent attempt took the count of ways round from %v to %v", before, r.c.alternateBudget)
 	}
 }
 
--- a/routing/plan_test.go
+++ b/routing/plan_test.go
@@ -108,7 +108,7 @@
 		if x.guards != nil {
 			c.Handle(0, PlanUpdated{Version: 1, ValidUntil: time.Hour, Guards: x.guards})
 		}
-		if got := c.reserve(3); got != x.keep {
+		if got := c.trunkReserve(3); got != x.keep {
 			t.Errorf("%v: %d kept, want %d", x.guards, got, x.keep)
 		}
 	}
