--- a/decide/plan/brute_test.go
+++ b/decide/plan/brute_test.go
@@ -15,119 +15,122 @@
 
 type rat = *big.Rat
 
-func whole(n int) rat        { return big.NewRat(int64(n), 1) }
-func quarters(x float64) rat { return big.NewRat(int64(math.Round(x*4)), 4) }
-func float(x rat) float64    { f, _ := x.Float64(); return f }
-func plus(a, f, b rat) rat   { return new(big.Rat).Add(a, new(big.Rat).Mul(f, b)) } // a + f b
-func isZero(x rat) bool      { return x.Sign() == 0 }
+func whole(n int) rat           { return big.NewRat(int64(n), 1) }
+func quarters(x float64) rat    { return big.NewRat(int64(math.Round(x*4)), 4) }
+func float(x rat) float64       { f, _ := x.Float64(); return f }
+func addScaled(a, f, b rat) rat { return new(big.Rat).Add(a, new(big.Rat).Mul(f, b)) } // a + f b
+func isZero(x rat) bool         { return x.Sign() == 0 }
 
-// exhaustive holds a small problem as rows a x <= b, x >= 0 included, and its
-// objectives, all exact.
-type exhaustive struct {
-	n     int
+// exactProgram holds a small problem as rows a x <= b, which include x >= 0, and its
+// objectives, all as rational numbers.
+type exactProgram struct {
+	vars  int
 	a     [][]rat
 	b     []rat
 	worth []rat
 	cost  []rat
-	// results
-	any       bool
-	best, low rat
-	top       [][]float64 // all vertices that reach them
+	// Results of enumerateVertices.
+	feasible              bool
+	bestWorth, lowestCost rat
+	optima                [][]float64 // all vertices with bestWorth and lowestCost
 }
 
-// vertices tries every set of n rows that meet in one point.
-func (e *exhaustive) vertices() {
+// enumerateVertices visits the intersection of every set of vars independent rows.
+func (e *exactProgram) enumerateVertices() {
 	type row struct {
-		v   []rat
-		b   rat
-		piv int
+		v     []rat
+		b     rat
+		pivot int
 	}
 	var basis []row
-	var walk func(from int)
-	walk = func(from int) {
-		if len(basis) == e.n {
-			x := make([]rat, e.n)
-			for i := e.n - 1; i >= 0; i-- { // rows were reduced by the ones before only
+	var choose func(from int)
+	choose = func(from int) {
+		if len(basis) == e.vars {
+			x := make([]rat, e.vars)
+			for i := e.vars - 1; i >= 0; i-- { // each row was reduced only by the ones before it
 				r := basis[i]
-				x[r.piv] = r.b
+				x[r.pivot] = r.b
 				for j, v := range r.v {
-					if j != r.piv && !isZero(v) {
-						x[r.piv] = plus(x[r.piv], new(big.Rat).Neg(v), x[j])
+					if j != r.pivot && !isZero(v) {
+						x[r.pivot] = addScaled(x[r.pivot], new(big.Rat).Neg(v), x[j])
 					}
 				}
 			}
-			e.vertex(x)
+			e.visitVertex(x)
 			return
 		}
-		for i := from; i <= len(e.a)-(e.n-len(basis)); i++ {
+		for i := from; i <= len(e.a)-(e.vars-len(basis)); i++ {
 			v, b := append([]rat(nil), e.a[i]...), e.b[i]
 			for _, r := range basis {
-				if !isZero(v[r.piv]) {
-					f := new(big.Rat).Neg(v[r.piv])
+				if !isZero(v[r.pivot]) {
+					f := new(big.Rat).Neg(v[r.pivot])
 					for j := range v {
-						v[j] = plus(v[j], f, r.v[j])
+						v[j] = addScaled(v[j], f, r.v[j])
 					}
-					b = plus(b, f, r.b)
+					b = addScaled(b, f, r.b)
 				}
 			}
-			piv := slices.IndexFunc(v, func(x rat) bool { return !isZero(x) })
-			if piv < 0 {
-				continue // it depends on the ones chosen
+			pivot := slices.IndexFunc(v, func(x rat) bool { return !isZero(x) })
+			if pivot < 0 {
+				continue // linearly dependent on the chosen rows
 			}
-			f := new(big.Rat).Inv(v[piv])
+			f := new(big.Rat).Inv(v[pivot])
 			for j := range v {
 				v[j] = new(big.Rat).Mul(v[j], f)
 			}
 			b = new(big.Rat).Mul(b, f)
-			basis = append(basis, row{v, b, piv})
-			walk(i + 1)
+			basis = append(basis, row{v, b, pivot})
+			choose(i + 1)
 			basis = basis[:len(basis)-1]
 		}
 	}
-	walk(0)
+	choose(0)
 }
 
 func dot(a, x []rat) rat {
 	s := whole(0)
 	for j := range x {
 		if !isZero(a[j]) && !isZero(x[j]) {
-			s = plus(s, a[j], x[j])
+			s = addScaled(s, a[j], x[j])
 		}
 	}
 	return s
 }
 
-func (e *exhaustive) vertex(x []rat) {
+// visitVertex keeps x if it is feasible and at least as good as the best vertices so far.
+func (e *exactProgram) visitVertex(x []rat) {
 	for i, a := range e.a {
 		if dot(a, x).Cmp(e.b[i]) > 0 {
 			return
 		}
 	}
 	w, c := dot(e.worth, x), dot(e.cost, x)
-	better := !e.any || w.Cmp(e.best) > 0 || w.Cmp(e.best) == 0 && c.Cmp(e.low) < 0
-	if !better && (w.Cmp(e.best) != 0 || c.Cmp(e.low) != 0) {
+	better := !e.feasible || w.Cmp(e.bestWorth) > 0 || w.Cmp(e.bestWorth) == 0 && c.Cmp(e.lowestCost) < 0
+	if !better && (w.Cmp(e.bestWorth) != 0 || c.Cmp(e.lowestCost) != 0) {
 		return
 	}
 	if better {
-		e.any, e.best, e.low, e.top = true, w, c, nil
+		e.feasible, e.bestWorth, e.lowestCost, e.optima = true, w, c, nil
 	}
 	f := make([]float64, len(x))
 	for j := range x {
 		f[j] = float(x[j])
 	}
-	e.top = append(e.top, f)
+	e.optima = append(e.optima, f)
 }
 
-// write states a problem whose figures are all whole for exhaustive search, from
-// the problem alone. cols says what each variable is; beyond has a tenant.
-type column struct {
+// variable is the rate of one demand on one route, which lists the switches.
+type variable struct {
 	demand int
-	way    []string
+	route  []string
 }
 
-func write(p *Problem) (*exhaustive, []column) {
-	e := &exhaustive{}
-	var cols []column
+// newExactProgram builds the program of a problem whose values are integers, independently
+// of the code under test. The variables that follow the returned ones are each tenant's
+// worth beyond its quota at a switch.
+func newExactProgram(p *Problem) (*exactProgram, []variable) {
+	e := &exactProgram{}
+	var variables []variable
 	group := map[pair]Group{}
 	sw := map[string]Switch{}
 	class := map[string]Class{}
@@ -140,18 +143,18 @@
 	for _, c := range p.Classes {
 		class[c.ID] = c
 	}
-	open := func(a, b string, w int) bool {
+	usable := func(a, b string, w int) bool {
 		g, ok := group[pairOf(a, b)]
 		return ok && g.Circuits >= w && sw[a].SetUps > 0 && sw[b].SetUps > 0 && sw[a].Phase == Up && sw[b].Phase == Up
 	}
 	for i, d := range p.Demands {
 		w := class[d.Class].Width
-		if open(d.From, d.To, w) {
-			cols = append(cols, column{i, []string{d.From, d.To}})
+		if usable(d.From, d.To, w) {
+			variables = append(variables, variable{i, []string{d.From, d.To}})
 		}
 		for _, t := range p.Switches {
-			if t.ID != d.From && t.ID != d.To && open(d.From, t.ID, w) && open(t.ID, d.To, w) {
-				cols = append(cols, column{i, []string{d.From, t.ID, d.To}})
+			if t.ID != d.From && t.ID != d.To && usable(d.From, t.ID, w) && usable(t.ID, d.To, w) {
+				variables = append(variables, variable{i, []string{d.From, t.ID, d.To}})
 			}
 		}
 	}
@@ -167,81 +170,81 @@
 				k := t.ID + "@" + d.From
 				if _, ok := quota[k]; !ok {
 					quota[k] = t.Share * offered[d.From]
-					byTenant[k] = []int{len(cols) + len(byTenant)}
+					byTenant[k] = []int{len(variables) + len(byTenant)}
 				}
 			}
 		}
 	}
-	e.n = len(cols) + len(byTenant)
+	e.vars = len(variables) + len(byTenant)
 	zero := func() []rat {
-		v := make([]rat, e.n)
+		v := make([]rat, e.vars)
 		for j := range v {
 			v[j] = whole(0)
 		}
 		return v
 	}
-	put := func(v []rat, b float64) {
-		// A row that can't bind within the demands is no vertex's: leave it out.
-		most, neg := 0.0, false
+	addCapacityRow := func(v []rat, b float64) {
+		// Omits a row that can't be binding for any flow within the demands.
+		maxUse, negative := 0.0, false
 		for j, x := range v {
-			neg = neg || x.Sign() < 0
-			if j < len(cols) {
-				most += float(x) * p.Demands[cols[j].demand].Rate
+			negative = negative || x.Sign() < 0
+			if j < len(variables) {
+				maxUse += float(x) * p.Demands[variables[j].demand].Rate
 			}
 		}
-		if neg || most > b {
+		if negative || maxUse > b {
 			e.a, e.b = append(e.a, v), append(e.b, quarters(b))
 		}
 	}
 	e.worth, e.cost = zero(), zero()
 	for i, d := range p.Demands {
-		v, m := zero(), zero()
-		for j, c := range cols {
+		v, must := zero(), zero()
+		for j, c := range variables {
 			if c.demand == i {
-				v[j], m[j] = whole(1), whole(-1)
+				v[j], must[j] = whole(1), whole(-1)
 			}
 		}
 		e.a, e.b = append(e.a, v), append(e.b, whole(int(d.Rate)))
 		if d.Must > 0 {
-			e.a, e.b = append(e.a, m), append(e.b, whole(-int(d.Must)))
+			e.a, e.b = append(e.a, must), append(e.b, whole(-int(d.Must)))
 		}
 	}
 	for k, g := range group {
 		v := zero()
-		for j, c := range cols {
+		for j, c := range variables {
 			d := class[p.Demands[c.demand].Class]
-			for i := 1; i < len(c.way); i++ {
-				if pairOf(c.way[i-1], c.way[i]) == k {
+			for i := 1; i < len(c.route); i++ {
+				if pairOf(c.route[i-1], c.route[i]) == k {
 					v[j] = whole(d.Width * int(d.Hold))
 				}
 			}
 		}
-		put(v, float64(g.Circuits))
+		addCapacityRow(v, float64(g.Circuits))
 	}
 	for _, s := range p.Switches {
 		v := zero()
-		for j, c := range cols {
-			for _, w := range c.way {
+		for j, c := range variables {
+			for _, w := range c.route {
 				if w == s.ID {
 					v[j] = whole(1)
 				}
 			}
 		}
-		put(v, s.SetUps)
+		addCapacityRow(v, s.SetUps)
 	}
-	for j, c := range cols {
+	for j, c := range variables {
 		d := p.Demands[c.demand]
 		k := class[d.Class]
 		e.worth[j] = whole(int(k.Worth))
 		cost := 0.0
-		if len(c.way) == 3 {
+		if len(c.route) == 3 {
 			cost += p.Costs.Tandem
 		}
-		for i := 1; i < len(c.way); i++ {
-			if sw[c.way[i-1]].Yard != sw[c.way[i]].Yard {
+		for i := 1; i < len(c.route); i++ {
+			if sw[c.route[i-1]].Yard != sw[c.route[i]].Yard {
 				cost += p.Costs.Yard
 			}
-			cost += group[pairOf(c.way[i-1], c.way[i])].Cost * k.Hold * float64(k.Width)
+			cost += group[pairOf(c.route[i-1], c.route[i])].Cost * k.Hold * float64(k.Width)
 		}
 		e.cost[j] = whole(int(cost))
 		if d.Tenant != "" {
@@ -257,25 +260,25 @@
 		e.worth[js[0]] = big.NewRat(-9, 10)
 		e.a, e.b = append(e.a, v), append(e.b, quarters(quota[k]))
 	}
-	for j := range e.n {
+	for j := range e.vars {
 		v := zero()
 		v[j] = whole(-1)
 		e.a, e.b = append(e.a, v), append(e.b, whole(0))
 	}
-	return e, cols
+	return e, variables
 }
 
-// sets is how many sets of rows a search would try.
-func (e *exhaustive) sets() float64 {
+// rowSets returns the number of sets of rows that enumerateVertices would try.
+func (e *exactProgram) rowSets() float64 {
 	c := 1.0
-	for i := range e.n {
+	for i := range e.vars {
 		c *= float64(len(e.a)-i) / float64(i+1)
 	}
 	return c
 }
 
-// pattern draws a problem on a graph; edges is one bit a pair of switches.
-func pattern(r *rand.Rand, n, edges int) *Problem {
+// randomProblem draws a problem on a graph of n switches; edges has one bit for each pair.
+func randomProblem(r *rand.Rand, n, edges int) *Problem {
 	p := &Problem{Classes: []Class{{"n", 1, 1 + float64(r.IntN(2)), 1 + float64(r.IntN(3))}, {"w", 2 + r.IntN(2), 2, float64(r.IntN(8))}},
 		Costs: Costs{Tandem: float64(r.IntN(3)), Yard: float64(r.IntN(3))}}
 	for i := range n {
@@ -315,53 +318,55 @@
 		if r.IntN(4) == 0 && d.Rate > 0 {
 			d.Must = float64(r.IntN(int(d.Rate) + 1))
 		}
-		twice := i == j
+		skip := i == j
 		for _, o := range p.Demands {
-			twice = twice || o.Class == d.Class && o.From == d.From && o.To == d.To && o.Tenant == d.Tenant
+			skip = skip || o.Class == d.Class && o.From == d.From && o.To == d.To && o.Tenant == d.Tenant
 		}
-		if !twice {
+		if !skip {
 			p.Demands = append(p.Demands, d)
 		}
 	}
 	return p
 }
 
+// connected reports whether the graph is connected.
 func connected(n, edges int) bool {
-	seen, grown := 1, true
-	for grown {
-		grown = false
+	reached, changed := 1, true
+	for changed {
+		changed = false
 		bit := 0
 		for i := range n {
 			for j := i + 1; j < n; j++ {
-				if edges>>bit&1 == 1 && (seen>>i^seen>>j)&1 == 1 {
-					seen |= 1<<i | 1<<j
-					grown = true
+				if edges>>bit&1 == 1 && (reached>>i^reached>>j)&1 == 1 {
+					reached |= 1<<i | 1<<j
+					changed = true
 				}
 				bit++
 			}
 		}
 	}
-	return seen == 1<<n-1
+	return reached == 1<<n-1
 }
 
-// compare solves a problem both ways. It returns how far they are apart.
-func compare(p *Problem) (fits bool, off float64, err error) {
-	e, cols := write(p)
-	if e.n > 0 {
-		e.vertices()
+// compare solves a problem with Solve and by exhaustive search. It returns whether the
+// search found an answer, and the largest relative difference.
+func compare(p *Problem) (feasible bool, difference float64, err error) {
+	exact, variables := newExactProgram(p)
+	if exact.vars > 0 {
+		exact.enumerateVertices()
 	} else {
-		e.any, e.best, e.low = true, whole(0), whole(0)
+		exact.feasible, exact.bestWorth, exact.lowestCost = true, whole(0), whole(0)
 		for _, d := range p.Demands {
-			e.any = e.any && d.Must == 0
+			exact.feasible = exact.feasible && d.Must == 0
 		}
 	}
-	// A must without any way has a row "0 <= -m", which no vertex meets.
+	// A demand with required calls but no path has a row "0 <= -m", which no vertex meets.
 	a, err := Solve(p, Options{})
-	var no *Infeasible
-	if errors.As(err, &no) != !e.any {
-		return false, 0, fmt.Errorf("fits %v by search, got %v", e.any, err)
+	var infeasible *Infeasible
+	if errors.As(err, &infeasible) != !exact.feasible {
+		return false, 0, fmt.Errorf("feasible by search: %v, Solve returned %v", exact.feasible, err)
 	}
-	if !e.any {
+	if !exact.feasible {
 		return false, 0, nil
 	}
 	if err != nil {
@@ -370,25 +375,25 @@
 	if a.Stages != 3 {
 		return true, 0, fmt.Errorf("only %d stages: %v", a.Stages, a.StageErr)
 	}
-	off = max(math.Abs(a.Worth-float(e.best))/(1+math.Abs(float(e.best))), math.Abs(a.Cost-float(e.low))/(1+float(e.low)))
-	if off > 1e-6 {
-		return true, off, fmt.Errorf("worth %v cost %v, by search %v and %v", a.Worth, a.Cost, float(e.best), float(e.low))
+	difference = max(math.Abs(a.Worth-float(exact.bestWorth))/(1+math.Abs(float(exact.bestWorth))), math.Abs(a.Cost-float(exact.lowestCost))/(1+float(exact.lowestCost)))
+	if difference > 1e-6 {
+		return true, difference, fmt.Errorf("worth %v cost %v, by search %v and %v", a.Worth, a.Cost, float(exact.bestWorth), float(exact.lowestCost))
 	}
-	// All best answers are mixtures of the vertices found. The answer is the
-	// evenest of them if no way toward any vertex is downhill.
+	// The optimal answers are the convex combinations of the vertices found. The answer is
+	// the most even one if unevenness decreases toward none of these vertices.
 	size := func(ls []Load) (sum float64) {
 		for _, l := range ls {
 			sum += l.Capacity
 		}
 		return sum
 	}
-	slope, here := map[pair]float64{}, 0.0 // of the unevenness, for each unit of a load
+	slope, atAnswer := map[pair]float64{}, 0.0 // derivative of the unevenness with respect to each load, and its sum over the answer's loads
 	for i, ls := range [][]Load{a.Groups, a.Switches} {
 		for _, l := range ls {
 			if l.Capacity > 0 {
 				k := [2]pair{pairOf(l.A, l.B), {l.A, ""}}[i]
 				slope[k] = 2 * l.Load / l.Capacity / size(ls)
-				here += slope[k] * l.Load
+				atAnswer += slope[k] * l.Load
 			}
 		}
 	}
@@ -396,31 +401,31 @@
 	for _, c := range p.Classes {
 		class[c.ID] = c
 	}
-	for _, v := range e.top {
-		down := -here
-		for j, c := range cols {
+	for _, v := range exact.optima {
+		derivative := -atAnswer
+		for j, c := range variables {
 			k := class[p.Demands[c.demand].Class]
-			for i, s := range c.way {
-				down += slope[pair{s, ""}] * v[j]
+			for i, s := range c.route {
+				derivative += slope[pair{s, ""}] * v[j]
 				if i > 0 {
-					down += slope[pairOf(c.way[i-1], s)] * v[j] * k.Hold * float64(k.Width)
+					derivative += slope[pairOf(c.route[i-1], s)] * v[j] * k.Hold * float64(k.Width)
 				}
 			}
 		}
-		if down < -4*canonShare {
-			return true, off, fmt.Errorf("not the evenest: slope %g toward %v", down, v)
+		if derivative < -4*leastSquaresFactor {
+			return true, difference, fmt.Errorf("not the most even: derivative %g toward %v", derivative, v)
 		}
 	}
-	return true, off, nil
+	return true, difference, nil
 }
 
-// Every connected graph of up to five switches, each labelling of it, with
-// several patterns of capacity and demand, against a search of all vertices in
-// exact arithmetic: worth, cost and evenness, and whether any answer fits.
+// Compares Solve with a search of all vertices in exact arithmetic, on every connected
+// labelled graph of up to five switches with several random capacities and demands:
+// feasibility, worth, cost and evenness.
 func TestBruteForce(t *testing.T) {
 	type job struct{ n, edges, k int }
 	jobs := make(chan job)
-	var done, none, graphs atomic.Int64
+	var compared, infeasible, graphs atomic.Int64
 	var mu sync.Mutex
 	worst := 0.0
 	var wg sync.WaitGroup
@@ -428,20 +433,20 @@
 		wg.Go(func() {
 			for j := range jobs {
 				r := rand.New(rand.NewPCG(uint64(j.n<<20|j.edges), uint64(j.k)))
-				p := pattern(r, j.n, j.edges)
-				for e, _ := write(p); e.sets() > 200_000; e, _ = write(p) {
+				p := randomProblem(r, j.n, j.edges)
+				for e, _ := newExactProgram(p); e.rowSets() > 200_000; e, _ = newExactProgram(p) {
 					p.Demands = p.Demands[:len(p.Demands)-1]
 				}
-				fits, off, err := compare(p)
+				feasible, difference, err := compare(p)
 				if err != nil {
-					t.Errorf("%d switches, edges %b, pattern %d: %v", j.n, j.edges, j.k, err)
+					t.Errorf("%d switches, edges %b, problem %d: %v", j.n, j.edges, j.k, err)
 				}
 				mu.Lock()
-				worst = max(worst, off)
+				worst = max(worst, difference)
 				mu.Unlock()
-				done.Add(1)
-				if !fits {
-					none.Add(1)
+				compared.Add(1)
+				if !feasible {
+					infeasible.Add(1)
 				}
 			}
 		})
@@ -459,9 +464,9 @@
 	}
 	close(jobs)
 	wg.Wait()
-	t.Logf("%d labelled graphs; largest relative difference %.2g; no answer fits %d", graphs.Load(), worst, none.Load())
-	t.Logf("%d patterns of capacity and demand compared", done.Load())
-	if done.Load() < 2000 {
-		t.Error("fewer than 2000")
+	t.Logf("%d labelled graphs; largest relative difference %.2g; %d problems infeasible", graphs.Load(), worst, infeasible.Load())
+	t.Logf("%d problems compared", compared.Load())
+	if compared.Load() < 2000 {
+		t.Error("fewer than 2000 problems compared")
 	}
 }
--- a/decide/plan/interior.go
+++ b/decide/plan/interior.go
@@ -8,98 +8,112 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// program is: least sum of c x + q x^2/2, with x >= 0, where each column x stands in
-// at most one of the block rows (sum of a block's columns = want) and in a few of
-// the shared rows (sum of val x = rhs). Columns of a block are adjacent.
+// program is a convex quadratic program in standard form: minimize the sum of
+// c x + q x^2/2 over all columns, subject to x >= 0 and two kinds of equality rows. A
+// block row says that the columns of one block add up to its blockSum; a shared row says
+// that the sum of value times x over its entries equals its rhs. Each column belongs to
+// at most one block and has entries in a few shared rows. Columns of a block are adjacent.
+//
+// The matrix of the shared rows is stored by columns: the entries of column j are
+// rowIndex and values from columnStart[j] to columnStart[j+1].
 type program struct {
-	blocks []int // first column of each block, and one past the last
-	want   []float64
-	rhs    []float64
-	c, q   []float64
-	first  []int // by column: where its entries begin in row and val
-	row    []int
-	val    []float64
+	blockStart  []int // first column of each block, and one past the last
+	blockSum    []float64
+	rhs         []float64
+	c, q        []float64 // by column: linear and quadratic cost
+	columnStart []int
+	rowIndex    []int
+	values      []float64
 }
 
-func newProgram() *program { return &program{blocks: []int{0}, first: []int{0}} }
+func newProgram() *program { return &program{blockStart: []int{0}, columnStart: []int{0}} }
 
-// column adds a column; entries come as pairs of row and value.
-func (p *program) column(c, q float64, rows []int, vals []float64) int {
+// addColumn adds a column with costs c and q and an entry values[i] in each shared row
+// rows[i]. It returns the column's index.
+func (p *program) addColumn(c, q float64, rows []int, values []float64) int {
 	p.c, p.q = append(p.c, c), append(p.q, q)
-	p.row, p.val = append(p.row, rows...), append(p.val, vals...)
-	p.first = append(p.first, len(p.row))
+	p.rowIndex, p.values = append(p.rowIndex, rows...), append(p.values, values...)
+	p.columnStart = append(p.columnStart, len(p.rowIndex))
 	return len(p.c) - 1
 }
 
-// endBlock closes the block of the columns added since the last one.
-func (p *program) endBlock(want float64) {
-	p.blocks = append(p.blocks, len(p.c))
-	p.want = append(p.want, want)
+// endBlock ends the block of the columns added since the previous block.
+func (p *program) endBlock(sum float64) {
+	p.blockStart = append(p.blockStart, len(p.c))
+	p.blockSum = append(p.blockSum, sum)
 }
 
-// point is a primal and dual point of a program.
+// point is a primal-dual point of a program.
 type point struct {
-	x, z  []float64
-	yb    []float64 // prices of block rows
-	yr    []float64 // prices of shared rows
+	x, z  []float64 // primal variables and their dual slacks (reduced costs)
+	yb    []float64 // dual variables of the block rows
+	yr    []float64 // dual variables of the shared rows
 	steps int
-	err   float64 // largest of the relative residuals and the gap
+	err   float64 // largest of the relative primal and dual residuals and the relative gap
 }
 
-// coarse is the tolerance from which speed counts: several corrections for each
-// factor, and no refinement. Below it Mehrotra's own steps end closer.
-const coarse = 1e-6
+// coarseTolerance is the smallest tolerance at which the solver favours speed: it makes
+// several centrality corrections for each factorization, without iterative refinement.
+// Below it, Mehrotra's steps without further corrections end closer to the optimum.
+const coarseTolerance = 1e-6
 
-// Centrality: how many further corrections a step may take, and how much longer
-// each tries to make it.
+// Limits of Gondzio's centrality corrections.
 const (
-	correctors = 3
-	reachOut   = 0.3
+	maxCorrectors  = 3   // for each step
+	correctorReach = 0.3 // increase of the step length that each correction aims at
 )
 
-// stalled is how many steps may pass without halving the error.
-const stalled = 15
+// maxStalledSteps is the number of steps that may pass without halving the error.
+const maxStalledSteps = 15
 
-var errNumeric = errors.New("plan: the solver lost its way in rounding")
+// errNumeric reports that rounding errors left no usable result.
+var errNumeric = errors.New("plan: the solver failed because of rounding errors")
 
-// solver holds a program and what one step needs.
+// solver holds a program, the factorization of the current step and scratch space.
 type solver struct {
 	*program
-	theta  []float64
-	bsum   []float64 // by block: sum of theta
-	schur  []float64
-	chol   mat.Cholesky
-	g      []float64 // scratch: one block's row of the coupling
-	marked []bool
-	hit    []int
-	packed []float64
-	refine bool
+	theta       []float64 // by column: 1/(z/x + q), the diagonal scaling of the normal equations
+	blockTheta  []float64 // by block: sum of theta
+	schur       []float64 // Schur complement of the block rows, upper triangle, by rows
+	chol        mat.Cholesky
+	coupling    []float64 // scratch: entries of the normal equations between one block row and the shared rows
+	touched     []bool    // scratch: shared rows with an entry in coupling
+	touchedRows []int     // scratch: the same, as indexes
+	packed      []float64 // scratch: coupling at touchedRows
+	refine      bool      // refine each step once and make no centrality corrections
 }
 
-// solve finds the optimum by Mehrotra's predictor and corrector. It ends when
-// residuals and gap are below tol relative to the program's scale, or with the
-// best point seen if rounding allows no better one; the point's err tells.
-func (p *program) solve(tol float64, most int, stop func() bool) (*point, error) {
-	n, nb, nr := len(p.c), len(p.want), len(p.rhs)
-	s := &solver{program: p, refine: tol < coarse, theta: make([]float64, n), bsum: make([]float64, nb),
-		schur: make([]float64, nr*nr), g: make([]float64, nr), marked: make([]bool, nr)}
+// solve finds the optimum with Mehrotra's predictor-corrector interior-point method. It
+// returns when the residuals and the gap are at most tol relative to the program's scale.
+// After limit steps, or if rounding prevents further progress, it returns the best point
+// found, whose err may exceed tol. stop, if not nil, is called before each step; true
+// ends the solve with ErrStopped.
+//
+// Names: n columns, nb block rows, nr shared rows; rpb and rpr are the primal residuals of
+// the block and shared rows, rd the dual residual, rc the target of the complementarity
+// equations; dx, dz, dyb and dyr are the Newton step; ap and ad are the primal and dual
+// step lengths; mu is the barrier parameter and sigma the centering parameter.
+func (p *program) solve(tol float64, limit int, stop func() bool) (*point, error) {
+	n, nb, nr := len(p.c), len(p.blockSum), len(p.rhs)
+	s := &solver{program: p, refine: tol < coarseTolerance, theta: make([]float64, n), blockTheta: make([]float64, nb),
+		schur: make([]float64, nr*nr), coupling: make([]float64, nr), touched: make([]bool, nr)}
 	pt := &point{}
-	if err := s.start(pt); err != nil {
+	if err := s.startingPoint(pt); err != nil {
 		return nil, err
 	}
 	quadratic := false
 	for _, q := range p.q {
 		quadratic = quadratic || q > 0
 	}
-	nb1, nc1 := 1+norm(p.want)+norm(p.rhs), 1+norm(p.c)
+	primalScale, dualScale := 1+maxNorm(p.blockSum)+maxNorm(p.rhs), 1+maxNorm(p.c)
 	var best *point
-	last, lastErr := 0, math.Inf(1) // the last step that made a difference
+	progressStep, progressErr := 0, math.Inf(1) // the last step that halved the error
 	rpb, rpr, rd := make([]float64, nb), make([]float64, nr), make([]float64, n)
 	rc, dx, dz := make([]float64, n), make([]float64, n), make([]float64, n)
-	keepX, keepZ := make([]float64, n), make([]float64, n)
+	savedDX, savedDZ := make([]float64, n), make([]float64, n)
 	zeroB, zeroR, zeroD := make([]float64, nb), make([]float64, nr), make([]float64, n)
-	steps := func() (ap, ad float64) {
-		if ap, ad = stepTo(pt.x, dx), stepTo(pt.z, dz); quadratic {
+	stepLengths := func() (ap, ad float64) {
+		if ap, ad = maxStep(pt.x, dx), maxStep(pt.z, dz); quadratic {
 			ap = min(ap, ad)
 			ad = ap
 		}
@@ -112,17 +126,17 @@
 			gap += x * pt.z[j]
 			obj += p.c[j]*x + p.q[j]*x*x/2
 		}
-		pt.err = max((norm(rpb)+norm(rpr))/nb1, norm(rd)/nc1, gap/(1+math.Abs(obj)))
+		pt.err = max((maxNorm(rpb)+maxNorm(rpr))/primalScale, maxNorm(rd)/dualScale, gap/(1+math.Abs(obj)))
 		if math.IsNaN(pt.err) {
 			break
 		}
 		if best == nil || pt.err < best.err {
 			best = pt.clone()
 		}
-		if best.err < lastErr/2 {
-			last, lastErr = pt.steps, best.err
+		if best.err < progressErr/2 {
+			progressStep, progressErr = pt.steps, best.err
 		}
-		if pt.err <= tol || pt.steps >= most || pt.err > 1e6*best.err || pt.steps > last+stalled {
+		if pt.err <= tol || pt.steps >= limit || pt.err > 1e6*best.err || pt.steps > progressStep+maxStalledSteps {
 			break
 		}
 		if stop != nil && stop() {
@@ -132,32 +146,32 @@
 		for j := range s.theta {
 			s.theta[j] = 1 / (pt.z[j]/pt.x[j] + p.q[j])
 		}
-		if !s.factor() {
+		if !s.factorize() {
 			break
 		}
 		for j := range rc {
 			rc[j] = -pt.x[j] * pt.z[j]
 		}
-		dyb, dyr := s.direction(pt, rpb, rpr, rd, rc, dx, dz)
-		ap, ad := steps()
-		after := 0.0
+		s.newtonStep(pt, rpb, rpr, rd, rc, dx, dz)
+		ap, ad := stepLengths()
+		affineGap := 0.0
 		for j := range dx {
-			after += (pt.x[j] + ap*dx[j]) * (pt.z[j] + ad*dz[j])
+			affineGap += (pt.x[j] + ap*dx[j]) * (pt.z[j] + ad*dz[j])
 		}
-		sigma := math.Pow(after/gap, 3)
-		second := 1.0
+		sigma := math.Pow(affineGap/gap, 3)
+		secondOrder := 1.0
 		if !s.refine {
-			second = ap * ad
+			secondOrder = ap * ad
 		}
 		for j := range rc {
-			rc[j] = sigma*mu - pt.x[j]*pt.z[j] - second*dx[j]*dz[j]
-		}
-		dyb, dyr = s.direction(pt, rpb, rpr, rd, rc, dx, dz)
-		ap, ad = steps()
-		// Gondzio's correctors: beside large factors a further solve is
-		// cheap, and a step that stays well inside goes further the next time.
-		for k := 0; k < correctors && !s.refine; k++ {
-			tp, td := min(1, ap+reachOut), min(1, ad+reachOut)
+			rc[j] = sigma*mu - pt.x[j]*pt.z[j] - secondOrder*dx[j]*dz[j]
+		}
+		dyb, dyr := s.newtonStep(pt, rpb, rpr, rd, rc, dx, dz)
+		ap, ad = stepLengths()
+		// Gondzio's centrality corrections: compared with a large factorization, one
+		// more solve is cheap, and a better centred point allows a longer next step.
+		for k := 0; k < maxCorrectors && !s.refine; k++ {
+			tp, td := min(1, ap+correctorReach), min(1, ad+correctorReach)
 			for j := range rc {
 				v := (pt.x[j] + tp*dx[j]) * (pt.z[j] + td*dz[j])
 				low, high := sigma*mu*0.1, sigma*mu*10
@@ -170,26 +184,26 @@
 					rc[j] = 0
 				}
 			}
-			copy(keepX, dx)
-			copy(keepZ, dz)
-			cyb, cyr := s.direction(pt, zeroB, zeroR, zeroD, rc, dx, dz)
-			axpy(1, keepX, dx)
-			axpy(1, keepZ, dz)
-			np, nd := steps()
-			if np+nd < ap+ad+0.1*reachOut {
-				copy(dx, keepX)
-				copy(dz, keepZ)
+			copy(savedDX, dx)
+			copy(savedDZ, dz)
+			cyb, cyr := s.newtonStep(pt, zeroB, zeroR, zeroD, rc, dx, dz)
+			axpy(1, savedDX, dx)
+			axpy(1, savedDZ, dz)
+			np, nd := stepLengths()
+			if np+nd < ap+ad+0.1*correctorReach {
+				copy(dx, savedDX)
+				copy(dz, savedDZ)
 				break
 			}
 			ap, ad = np, nd
 			axpy(1, cyb, dyb)
 			axpy(1, cyr, dyr)
 		}
-		back := 0.95 // not quite to the edge
+		stepFraction := 0.95 // share of the step to the boundary
 		if s.refine {
-			back = min(max(0.9, 1-mu), 0.9995)
+			stepFraction = min(max(0.9, 1-mu), 0.9995)
 		}
-		ap, ad = min(1, back*ap), min(1, back*ad)
+		ap, ad = min(1, stepFraction*ap), min(1, stepFraction*ad)
 		for j := range dx {
 			pt.x[j] += ap * dx[j]
 			pt.z[j] += ad * dz[j]
@@ -204,6 +218,7 @@
 	return best, nil
 }
 
+// clone returns a deep copy.
 func (pt *point) clone() *point {
 	c := *pt
 	c.x, c.z = append([]float64(nil), pt.x...), append([]float64(nil), pt.z...)
@@ -211,165 +226,168 @@
 	return &c
 }
 
-// start is Mehrotra's: the least-squares point, shifted inside.
-func (s *solver) start(pt *point) error {
-	n, nb, nr := len(s.c), len(s.want), len(s.rhs)
+// startingPoint sets pt to Mehrotra's starting point: the least-squares point, shifted so
+// that x and z are positive.
+func (s *solver) startingPoint(pt *point) error {
+	n, nb, nr := len(s.c), len(s.blockSum), len(s.rhs)
 	pt.x, pt.z = make([]float64, n), make([]float64, n)
 	pt.yb, pt.yr = make([]float64, nb), make([]float64, nr)
 	for j := range s.theta {
 		s.theta[j] = 1
 	}
-	if !s.factor() {
+	if !s.factorize() {
 		return errNumeric
 	}
-	yb, yr := s.normal(s.want, s.rhs)
+	yb, yr := s.solveNormal(s.blockSum, s.rhs)
 	for j := range pt.x {
 		pt.x[j] = 0
 	}
-	s.transpose(yb, yr, pt.x)
+	s.multiplyTransposed(yb, yr, pt.x)
 	ab, ar := make([]float64, nb), make([]float64, nr)
-	s.times(s.c, ab, ar)
-	yb, yr = s.normal(ab, ar)
+	s.multiply(s.c, ab, ar)
+	yb, yr = s.solveNormal(ab, ar)
 	copy(pt.yb, yb)
 	copy(pt.yr, yr)
-	s.transpose(yb, yr, pt.z)
+	s.multiplyTransposed(yb, yr, pt.z)
 	for j := range pt.z {
 		pt.z[j] = s.c[j] - pt.z[j]
 	}
 	shift := func(v []float64) {
-		least := 0.0
+		lowest := 0.0
 		for _, x := range v {
-			least = min(least, x)
+			lowest = min(lowest, x)
 		}
 		for j := range v {
-			v[j] -= 1.5 * least
+			v[j] -= 1.5 * lowest
 		}
 	}
 	shift(pt.x)
 	shift(pt.z)
-	dot, sx, sz := 0.0, 0.0, 0.0
+	dot, sumX, sumZ := 0.0, 0.0, 0.0
 	for j := range pt.x {
 		dot += pt.x[j] * pt.z[j]
-		sx += pt.x[j]
-		sz += pt.z[j]
+		sumX += pt.x[j]
+		sumZ += pt.z[j]
 	}
-	dx, dz := 0.1, 0.1
-	if sz > 0 {
-		dx = max(dx, dot/sz/2)
+	shiftX, shiftZ := 0.1, 0.1
+	if sumZ > 0 {
+		shiftX = max(shiftX, dot/sumZ/2)
 	}
-	if sx > 0 {
-		dz = max(dz, dot/sx/2)
+	if sumX > 0 {
+		shiftZ = max(shiftZ, dot/sumX/2)
 	}
 	for j := range pt.x {
-		pt.x[j] += dx
-		pt.z[j] += dz
+		pt.x[j] += shiftX
+		pt.z[j] += shiftZ
 	}
 	return nil
 }
 
-// times adds up the rows for a vector of columns.
-func (s *solver) times(x, b, r []float64) {
+// multiply sets b and r to the block and shared rows of the matrix times x.
+func (s *solver) multiply(x, b, r []float64) {
 	clear(b)
 	clear(r)
-	for d := range s.want {
-		for j := s.blocks[d]; j < s.blocks[d+1]; j++ {
+	for d := range s.blockSum {
+		for j := s.blockStart[d]; j < s.blockStart[d+1]; j++ {
 			b[d] += x[j]
 		}
 	}
 	for j, v := range x {
-		for i := s.first[j]; i < s.first[j+1]; i++ {
-			r[s.row[i]] += s.val[i] * v
+		for i := s.columnStart[j]; i < s.columnStart[j+1]; i++ {
+			r[s.rowIndex[i]] += s.values[i] * v
 		}
 	}
 }
 
-// transpose adds up the prices for each column.
-func (s *solver) transpose(yb, yr, out []float64) {
-	for d := range s.want {
-		for j := s.blocks[d]; j < s.blocks[d+1]; j++ {
+// multiplyTransposed sets out to the transposed matrix times the dual variables yb and yr.
+func (s *solver) multiplyTransposed(yb, yr, out []float64) {
+	for d := range s.blockSum {
+		for j := s.blockStart[d]; j < s.blockStart[d+1]; j++ {
 			out[j] = yb[d]
 		}
 	}
-	for j := s.blocks[len(s.want)]; j < len(s.c); j++ {
+	for j := s.blockStart[len(s.blockSum)]; j < len(s.c); j++ {
 		out[j] = 0
 	}
 	for j := range out {
-		for i := s.first[j]; i < s.first[j+1]; i++ {
-			out[j] += s.val[i] * yr[s.row[i]]
+		for i := s.columnStart[j]; i < s.columnStart[j+1]; i++ {
+			out[j] += s.values[i] * yr[s.rowIndex[i]]
 		}
 	}
 }
 
+// residuals computes the primal residuals rpb and rpr and the dual residual rd at pt.
 func (s *solver) residuals(pt *point, rpb, rpr, rd []float64) {
-	s.times(pt.x, rpb, rpr)
+	s.multiply(pt.x, rpb, rpr)
 	for d := range rpb {
-		rpb[d] = s.want[d] - rpb[d]
+		rpb[d] = s.blockSum[d] - rpb[d]
 	}
 	for r := range rpr {
 		rpr[r] = s.rhs[r] - rpr[r]
 	}
-	s.transpose(pt.yb, pt.yr, rd)
+	s.multiplyTransposed(pt.yb, pt.yr, rd)
 	for j := range rd {
 		rd[j] = s.c[j] + s.q[j]*pt.x[j] - rd[j] - pt.z[j]
 	}
 }
 
-// factor builds the normal equations, takes the blocks out by hand and factors
-// what is left. It says whether that went well.
-func (s *solver) factor() bool {
+// factorize builds the normal equations, eliminates the block rows directly, as their part
+// is diagonal, and factorizes the Schur complement that remains. It reports whether that
+// succeeded.
+func (s *solver) factorize() bool {
 	nr := len(s.rhs)
 	clear(s.schur)
-	put := func(j int) {
+	addOuterProduct := func(j int) {
 		t := s.theta[j]
-		for a := s.first[j]; a < s.first[j+1]; a++ {
-			for b := s.first[j]; b < s.first[j+1]; b++ {
-				if s.row[b] >= s.row[a] {
-					s.schur[s.row[a]*nr+s.row[b]] += t * s.val[a] * s.val[b]
+		for a := s.columnStart[j]; a < s.columnStart[j+1]; a++ {
+			for b := s.columnStart[j]; b < s.columnStart[j+1]; b++ {
+				if s.rowIndex[b] >= s.rowIndex[a] {
+					s.schur[s.rowIndex[a]*nr+s.rowIndex[b]] += t * s.values[a] * s.values[b]
 				}
 			}
 		}
 	}
-	for d := range s.want {
+	for d := range s.blockSum {
 		sum := 0.0
-		s.hit = s.hit[:0]
-		for j := s.blocks[d]; j < s.blocks[d+1]; j++ {
+		s.touchedRows = s.touchedRows[:0]
+		for j := s.blockStart[d]; j < s.blockStart[d+1]; j++ {
 			sum += s.theta[j]
-			put(j)
-			for i := s.first[j]; i < s.first[j+1]; i++ {
-				if r := s.row[i]; !s.marked[r] {
-					s.marked[r] = true
-					s.hit = append(s.hit, r)
+			addOuterProduct(j)
+			for i := s.columnStart[j]; i < s.columnStart[j+1]; i++ {
+				if r := s.rowIndex[i]; !s.touched[r] {
+					s.touched[r] = true
+					s.touchedRows = append(s.touchedRows, r)
 				}
-				s.g[s.row[i]] += s.theta[j] * s.val[i]
+				s.coupling[s.rowIndex[i]] += s.theta[j] * s.values[i]
 			}
 		}
-		s.bsum[d] = sum
-		slices.Sort(s.hit)
+		s.blockTheta[d] = sum
+		slices.Sort(s.touchedRows)
 		s.packed = s.packed[:0]
-		for _, a := range s.hit {
-			s.packed = append(s.packed, s.g[a])
+		for _, a := range s.touchedRows {
+			s.packed = append(s.packed, s.coupling[a])
 		}
-		for k, a := range s.hit {
+		for k, a := range s.touchedRows {
 			w := s.packed[k] / sum
-			line := s.schur[a*nr : a*nr+nr]
+			row := s.schur[a*nr : a*nr+nr]
 			rest := s.packed[k:]
-			for i, b := range s.hit[k:] {
-				line[b] -= w * rest[i]
+			for i, b := range s.touchedRows[k:] {
+				row[b] -= w * rest[i]
 			}
 		}
-		for _, a := range s.hit {
-			s.g[a], s.marked[a] = 0, false
+		for _, a := range s.touchedRows {
+			s.coupling[a], s.touched[a] = 0, false
 		}
 	}
-	for j := s.blocks[len(s.want)]; j < len(s.c); j++ {
-		put(j)
+	for j := s.blockStart[len(s.blockSum)]; j < len(s.c); j++ {
+		addOuterProduct(j)
 	}
 	if nr == 0 {
 		return true
 	}
-	for lift := 1e-15; lift < 1e-6; lift *= 100 {
+	for regularization := 1e-15; regularization < 1e-6; regularization *= 100 {
 		for r := range nr {
-			s.schur[r*nr+r] *= 1 + lift
+			s.schur[r*nr+r] *= 1 + regularization
 			s.schur[r*nr+r] += 1e-30
 		}
 		if s.chol.Factorize(mat.NewSymDense(nr, s.schur)) {
@@ -379,65 +397,67 @@
 	return false
 }
 
-// normal solves the normal equations for a right side.
-func (s *solver) normal(hb, hr []float64) (yb, yr []float64) {
-	nb, nr := len(s.want), len(s.rhs)
+// solveNormal solves the normal equations for the right-hand side hb (block rows) and hr
+// (shared rows).
+func (s *solver) solveNormal(hb, hr []float64) (yb, yr []float64) {
+	nb, nr := len(s.blockSum), len(s.rhs)
 	yb, yr = make([]float64, nb), make([]float64, nr)
 	copy(yr, hr)
-	for d := range s.want {
-		w := hb[d] / s.bsum[d]
-		for j := s.blocks[d]; j < s.blocks[d+1]; j++ {
-			for i := s.first[j]; i < s.first[j+1]; i++ {
-				yr[s.row[i]] -= w * s.theta[j] * s.val[i]
+	for d := range s.blockSum {
+		w := hb[d] / s.blockTheta[d]
+		for j := s.blockStart[d]; j < s.blockStart[d+1]; j++ {
+			for i := s.columnStart[j]; i < s.columnStart[j+1]; i++ {
+				yr[s.rowIndex[i]] -= w * s.theta[j] * s.values[i]
 			}
 		}
 	}
 	if nr > 0 {
 		v := mat.NewVecDense(nr, yr)
-		_ = s.chol.SolveVecTo(v, v) // a bad condition shows in the residuals
+		_ = s.chol.SolveVecTo(v, v) // the error reports only ill-conditioning, which shows in the residuals
 	}
-	for d := range s.want {
+	for d := range s.blockSum {
 		sum := hb[d]
-		for j := s.blocks[d]; j < s.blocks[d+1]; j++ {
-			for i := s.first[j]; i < s.first[j+1]; i++ {
-				sum -= s.theta[j] * s.val[i] * yr[s.row[i]]
+		for j := s.blockStart[d]; j < s.blockStart[d+1]; j++ {
+			for i := s.columnStart[j]; i < s.columnStart[j+1]; i++ {
+				sum -= s.theta[j] * s.values[i] * yr[s.rowIndex[i]]
 			}
 		}
-		yb[d] = sum / s.bsum[d]
+		yb[d] = sum / s.blockTheta[d]
 	}
 	return yb, yr
 }
 
-// direction is the Newton step for the given residuals; dx and dz are filled in.
-func (s *solver) direction(pt *point, rpb, rpr, rd, rc, dx, dz []float64) (dyb, dyr []float64) {
+// newtonStep computes the Newton step for the given residuals. It sets dx and dz and
+// returns the steps of the dual variables.
+func (s *solver) newtonStep(pt *point, rpb, rpr, rd, rc, dx, dz []float64) (dyb, dyr []float64) {
 	n := len(s.c)
 	t := make([]float64, n)
 	for j := range t {
 		t[j] = s.theta[j] * (rd[j] - rc[j]/pt.x[j])
 	}
 	hb, hr := make([]float64, len(rpb)), make([]float64, len(rpr))
-	s.times(t, hb, hr)
+	s.multiply(t, hb, hr)
 	axpy(1, rpb, hb)
 	axpy(1, rpr, hr)
-	dyb, dyr = s.normal(hb, hr)
-	if s.refine { // the blocks' removal loses digits near the end
-		s.transpose(dyb, dyr, dx)
+	dyb, dyr = s.solveNormal(hb, hr)
+	if s.refine { // eliminating the block rows loses precision near the optimum
+		s.multiplyTransposed(dyb, dyr, dx)
 		for j := range dx {
 			dx[j] = s.theta[j]*dx[j] - t[j]
 		}
 		eb, er := make([]float64, len(rpb)), make([]float64, len(rpr))
-		s.times(dx, eb, er)
+		s.multiply(dx, eb, er)
 		for d := range eb {
 			eb[d] = rpb[d] - eb[d]
 		}
 		for r := range er {
 			er[r] = rpr[r] - er[r]
 		}
-		fb, fr := s.normal(eb, er)
+		fb, fr := s.solveNormal(eb, er)
 		axpy(1, fb, dyb)
 		axpy(1, fr, dyr)
 	}
-	s.transpose(dyb, dyr, dx)
+	s.multiplyTransposed(dyb, dyr, dx)
 	for j := range dx {
 		dx[j] = s.theta[j]*dx[j] - t[j]
 		dz[j] = (rc[j] - pt.z[j]*dx[j]) / pt.x[j]
@@ -445,8 +465,9 @@
 	return dyb, dyr
 }
 
-// stepTo is how far a positive vector may go before an entry is 0.
-func stepTo(x, dx []float64) float64 {
+// maxStep returns the longest step, at most 1, along dx that keeps all entries of the
+// positive vector x at 0 or above.
+func maxStep(x, dx []float64) float64 {
 	a := 1e30
 	for j, d := range dx {
 		if d < 0 {
@@ -456,13 +477,15 @@
 	return min(a, 1)
 }
 
+// axpy adds a times x to y.
 func axpy(a float64, x, y []float64) {
 	for i := range x {
 		y[i] += a * x[i]
 	}
 }
 
-func norm(x []float64) float64 {
+// maxNorm returns the largest absolute value in x.
+func maxNorm(x []float64) float64 {
 	m := 0.0
 	for _, v := range x {
 		m = max(m, math.Abs(v))
--- a/decide/plan/model.go
+++ b/decide/plan/model.go
@@ -5,133 +5,136 @@
 	"slices"
 )
 
-// path is one way of a demand.
+// path is one route of a demand: direct or via one tandem. legs and processors hold
+// indexes of resources.
 type path struct {
-	via    int // switch, or -1: direct
-	legs   [2]int
-	nlegs  int // groups it crosses
-	procs  [3]int
-	nprocs int
-	cost   float64 // a call a second
+	via            int // index of the tandem's switch, or -1: direct
+	legs           [2]int
+	legCount       int // 1 or 2
+	processors     [3]int
+	processorCount int
+	cost           float64 // for each call/s
 }
 
-// resource is a group or a processor with its planned capacity.
+// resource is a group or a processor with its planned capacity. One of the two indexes
+// is -1.
 type resource struct {
-	group    int // or -1
-	sw       int // or -1
-	capacity float64
-	mix      []TrafficStream // of a group
+	groupIndex  int // or -1
+	switchIndex int // or -1
+	capacity    float64
+	mix         []TrafficStream // a group's planned traffic
 }
 
-// quota is a tenant's share at one switch.
+// quota is the worth that a tenant's share grants it at one switch.
 type quota struct {
-	tenant, sw      int
-	offered, amount float64 // worth a second
-	most            float64 // of offered that could be carried
+	tenantIndex, switchIndex int
+	offered, amount          float64 // worth a second
+	maxCarried               float64 // upper bound on the carried part of offered
 }
 
 // model is a sorted problem with its paths, capacities and quotas.
 type model struct {
 	*Problem
-	class     map[string]int
-	sw        map[string]int
-	groupAt   [][]int  // by two switches: the group between them, or -1
-	paths     [][]path // by demand
-	res       []resource
-	ofGroup   []int   // by group: place in res, or -1 where it has no capacity
-	ofSw      []int   // by switch: the same
-	quotas    []quota // for each demand's tenant and switch that has one
-	ofDemand  []int   // by demand: place in quotas, or -1
-	erlangs   []float64
-	worth     []float64 // of one call, by demand
-	rate      []float64 // by demand: its rate, or all that its ends could carry if that is less
-	totalRate float64   // of those
+	classIndex     map[string]int
+	switchIndex    map[string]int
+	groupBetween   [][]int  // by two switch indexes: the group between them, or -1
+	paths          [][]path // by demand
+	resources      []resource
+	groupResource  []int     // by group: index in resources, or -1 if it has no capacity
+	switchResource []int     // by switch: the same
+	quotas         []quota   // one for each tenant and originating switch with demand
+	demandQuota    []int     // by demand: index in quotas, or -1
+	erlangsPerRate []float64 // by demand: erlangs of circuits for each call/s
+	callWorth      []float64 // by demand: worth of one call
+	boundedRate    []float64 // by demand: its rate, limited according to maxRate
+	totalRate      float64   // sum of boundedRate
 }
 
-// newModel lays a checked problem out. With open, resources without capacity
-// carry paths too: for enlargements.
-func newModel(q *Problem, open bool) *model {
-	p := q.sorted()
-	m := &model{Problem: p, class: map[string]int{}, sw: map[string]int{}}
+// newModel builds the model of a checked problem. With expandable, resources without
+// capacity are included, so that capacity can be added to them.
+func newModel(problem *Problem, expandable bool) *model {
+	p := problem.sorted()
+	m := &model{Problem: p, classIndex: map[string]int{}, switchIndex: map[string]int{}}
 	for i, c := range p.Classes {
-		m.class[c.ID] = i
+		m.classIndex[c.ID] = i
 	}
 	for i, s := range p.Switches {
-		m.sw[s.ID] = i
+		m.switchIndex[s.ID] = i
 	}
 	n := len(p.Switches)
-	m.groupAt = make([][]int, n)
-	for i := range m.groupAt {
-		m.groupAt[i] = slices.Repeat([]int{-1}, n)
+	m.groupBetween = make([][]int, n)
+	for i := range m.groupBetween {
+		m.groupBetween[i] = slices.Repeat([]int{-1}, n)
 	}
 	for g, e := range p.Groups {
-		a, b := m.sw[e.A], m.sw[e.B]
-		m.groupAt[a][b], m.groupAt[b][a] = g, g
+		a, b := m.switchIndex[e.A], m.switchIndex[e.B]
+		m.groupBetween[a][b], m.groupBetween[b][a] = g, g
 	}
-	mixes := m.mixes()
-	m.ofGroup, m.ofSw = make([]int, len(p.Groups)), make([]int, n)
+	mixes := m.trafficMixes()
+	m.groupResource, m.switchResource = make([]int, len(p.Groups)), make([]int, n)
 	for g, e := range p.Groups {
-		m.ofGroup[g] = -1
-		if c := capacity(e.Circuits, mixes[g], p.Target); c > 0 || open {
-			m.ofGroup[g] = len(m.res)
-			m.res = append(m.res, resource{group: g, sw: -1, capacity: c, mix: mixes[g]})
+		m.groupResource[g] = -1
+		if c := plannedCapacity(e.Circuits, mixes[g], p.Target); c > 0 || expandable {
+			m.groupResource[g] = len(m.resources)
+			m.resources = append(m.resources, resource{groupIndex: g, switchIndex: -1, capacity: c, mix: mixes[g]})
 		}
 	}
 	for i, s := range p.Switches {
-		m.ofSw[i] = -1
-		if s.Phase == Up && (s.SetUps > 0 || open) {
-			m.ofSw[i] = len(m.res)
-			m.res = append(m.res, resource{group: -1, sw: i, capacity: s.SetUps})
+		m.switchResource[i] = -1
+		if s.Phase == Up && (s.SetUps > 0 || expandable) {
+			m.switchResource[i] = len(m.resources)
+			m.resources = append(m.resources, resource{groupIndex: -1, switchIndex: i, capacity: s.SetUps})
 		}
 	}
-	m.erlangs, m.worth, m.rate = make([]float64, len(p.Demands)), make([]float64, len(p.Demands)), make([]float64, len(p.Demands))
+	m.erlangsPerRate, m.callWorth, m.boundedRate = make([]float64, len(p.Demands)), make([]float64, len(p.Demands)), make([]float64, len(p.Demands))
 	m.paths = make([][]path, len(p.Demands))
 	for i, d := range p.Demands {
-		c := p.Classes[m.class[d.Class]]
-		m.erlangs[i] = c.Hold * float64(c.Width)
-		m.worth[i] = c.Worth
+		c := p.Classes[m.classIndex[d.Class]]
+		m.erlangsPerRate[i] = c.Hold * float64(c.Width)
+		m.callWorth[i] = c.Worth
 		if d.Rate > 0 {
-			m.paths[i] = m.pathsOf(m.sw[d.From], m.sw[d.To], c, open)
+			m.paths[i] = m.pathsOf(m.switchIndex[d.From], m.switchIndex[d.To], c, expandable)
 		}
-		m.rate[i] = d.Rate
-		if !open {
-			m.rate[i] = max(min(d.Rate, 2*m.most(i)), d.Must)
+		m.boundedRate[i] = d.Rate
+		if !expandable {
+			m.boundedRate[i] = max(min(d.Rate, 2*m.maxRate(i)), d.Must)
 		}
-		m.totalRate += m.rate[i]
+		m.totalRate += m.boundedRate[i]
 	}
-	m.makeQuotas()
+	m.computeQuotas()
 	return m
 }
 
-// most is what the processors and groups at a demand's ends could carry of it. An
-// offer far beyond that would drown all others in rounding. Twice as much may be
-// offered as it is, so that what binds, and has a price, is the capacity.
-func (m *model) most(i int) float64 {
-	from, to := m.sw[m.Demands[i].From], m.sw[m.Demands[i].To]
-	most := math.Inf(1)
+// maxRate returns the calls/s of a demand that the processors and groups at its ends
+// could carry. The solver sees at most twice that rate, because an offer far beyond it
+// would lose all other demands in rounding. Twice leaves the capacity as the binding
+// constraint, so that the capacity gets the shadow price.
+func (m *model) maxRate(demand int) float64 {
+	from, to := m.switchIndex[m.Demands[demand].From], m.switchIndex[m.Demands[demand].To]
+	rate := math.Inf(1)
 	for _, s := range []int{from, to} {
 		sum := 0.0
-		for _, g := range m.groupAt[s] {
-			if g >= 0 && m.ofGroup[g] >= 0 {
-				sum += m.res[m.ofGroup[g]].capacity
+		for _, g := range m.groupBetween[s] {
+			if g >= 0 && m.groupResource[g] >= 0 {
+				sum += m.resources[m.groupResource[g]].capacity
 			}
 		}
-		most = min(most, m.Switches[s].SetUps, sum/m.erlangs[i])
+		rate = min(rate, m.Switches[s].SetUps, sum/m.erlangsPerRate[demand])
 	}
-	return most
+	return rate
 }
 
-// mixes is the planned mix of classes of each group: that of the direct demand
-// between its ends, or of all demand where there is none.
-func (m *model) mixes() [][]TrafficStream {
+// trafficMixes returns the planned mix of classes of each group: the mix of the demand
+// between its ends, or of all demand if there is none between them.
+func (m *model) trafficMixes() [][]TrafficStream {
 	load := make([][]float64, len(m.Groups))
-	all := make([]float64, len(m.Classes))
+	total := make([]float64, len(m.Classes))
 	for _, d := range m.Demands {
-		k := m.class[d.Class]
+		k := m.classIndex[d.Class]
 		c := m.Classes[k]
 		e := d.Rate * c.Hold * float64(c.Width)
-		all[k] += e
-		if g := m.groupAt[m.sw[d.From]][m.sw[d.To]]; g >= 0 {
+		total[k] += e
+		if g := m.groupBetween[m.switchIndex[d.From]][m.switchIndex[d.To]]; g >= 0 {
 			if load[g] == nil {
 				load[g] = make([]float64, len(m.Classes))
 			}
@@ -141,7 +144,7 @@
 	out := make([][]TrafficStream, len(m.Groups))
 	for g := range out {
 		if load[g] == nil {
-			load[g] = all
+			load[g] = total
 		}
 		for k, e := range load[g] {
 			out[g] = append(out[g], TrafficStream{m.Classes[k].Width, e})
@@ -150,213 +153,219 @@
 	return out
 }
 
-func (m *model) pathsOf(from, to int, c Class, open bool) []path {
+// pathsOf returns the direct path, if any, and the paths via each tandem for calls of
+// class c. Without expandable, a path uses only groups at least as large as the class
+// is wide.
+func (m *model) pathsOf(from, to int, c Class, expandable bool) []path {
 	usable := func(g int) bool {
-		return g >= 0 && m.ofGroup[g] >= 0 && (open || m.Groups[g].Circuits >= c.Width)
+		return g >= 0 && m.groupResource[g] >= 0 && (expandable || m.Groups[g].Circuits >= c.Width)
 	}
-	if m.ofSw[from] < 0 || m.ofSw[to] < 0 {
+	if m.switchResource[from] < 0 || m.switchResource[to] < 0 {
 		return nil
 	}
-	erlang := c.Hold * float64(c.Width)
-	yard := func(a, b int) float64 {
+	erlangs := c.Hold * float64(c.Width)
+	yardCost := func(a, b int) float64 {
 		if m.Switches[a].Yard != m.Switches[b].Yard {
 			return m.Costs.Yard
 		}
 		return 0
 	}
 	var out []path
-	if g := m.groupAt[from][to]; usable(g) {
-		out = append(out, path{via: -1, legs: [2]int{m.ofGroup[g]}, nlegs: 1,
-			procs: [3]int{m.ofSw[from], m.ofSw[to]}, nprocs: 2,
-			cost: yard(from, to) + erlang*m.Groups[g].Cost})
+	if g := m.groupBetween[from][to]; usable(g) {
+		out = append(out, path{via: -1, legs: [2]int{m.groupResource[g]}, legCount: 1,
+			processors: [3]int{m.switchResource[from], m.switchResource[to]}, processorCount: 2,
+			cost: yardCost(from, to) + erlangs*m.Groups[g].Cost})
 	}
 	for t := range m.Switches {
-		if t == from || t == to || m.ofSw[t] < 0 {
+		if t == from || t == to || m.switchResource[t] < 0 {
 			continue
 		}
-		g, h := m.groupAt[from][t], m.groupAt[t][to]
+		g, h := m.groupBetween[from][t], m.groupBetween[t][to]
 		if !usable(g) || !usable(h) {
 			continue
 		}
-		out = append(out, path{via: t, legs: [2]int{m.ofGroup[g], m.ofGroup[h]}, nlegs: 2,
-			procs: [3]int{m.ofSw[from], m.ofSw[t], m.ofSw[to]}, nprocs: 3,
-			cost: m.Costs.Tandem + yard(from, t) + yard(t, to) + erlang*(m.Groups[g].Cost+m.Groups[h].Cost)})
+		out = append(out, path{via: t, legs: [2]int{m.groupResource[g], m.groupResource[h]}, legCount: 2,
+			processors: [3]int{m.switchResource[from], m.switchResource[t], m.switchResource[to]}, processorCount: 3,
+			cost: m.Costs.Tandem + yardCost(from, t) + yardCost(t, to) + erlangs*(m.Groups[g].Cost+m.Groups[h].Cost)})
 	}
 	return out
 }
 
-// makeQuotas works out each tenant's share of the worth offered at each switch.
-func (m *model) makeQuotas() {
-	at := make([]float64, len(m.Switches))
-	m.ofDemand = slices.Repeat([]int{-1}, len(m.Demands))
-	place := map[[2]int]int{}
-	tenant := map[string]int{}
+// computeQuotas sets each tenant's share of the worth offered at each switch.
+func (m *model) computeQuotas() {
+	offeredWorth := make([]float64, len(m.Switches))
+	m.demandQuota = slices.Repeat([]int{-1}, len(m.Demands))
+	quotaIndex := map[[2]int]int{}
+	tenantIndex := map[string]int{}
 	for i, t := range m.Tenants {
-		tenant[t.ID] = i
+		tenantIndex[t.ID] = i
 	}
 	for i, d := range m.Demands {
-		s := m.sw[d.From]
-		at[s] += m.worth[i] * d.Rate
+		s := m.switchIndex[d.From]
+		offeredWorth[s] += m.callWorth[i] * d.Rate
 		if d.Tenant == "" {
 			continue
 		}
-		k := [2]int{tenant[d.Tenant], s}
-		j, ok := place[k]
+		k := [2]int{tenantIndex[d.Tenant], s}
+		j, ok := quotaIndex[k]
 		if !ok {
 			j = len(m.quotas)
-			place[k] = j
-			m.quotas = append(m.quotas, quota{tenant: k[0], sw: s})
+			quotaIndex[k] = j
+			m.quotas = append(m.quotas, quota{tenantIndex: k[0], switchIndex: s})
 		}
-		m.quotas[j].offered += m.worth[i] * d.Rate
-		m.quotas[j].most += m.worth[i] * m.rate[i]
-		m.ofDemand[i] = j
+		m.quotas[j].offered += m.callWorth[i] * d.Rate
+		m.quotas[j].maxCarried += m.callWorth[i] * m.boundedRate[i]
+		m.demandQuota[i] = j
 	}
 	for j, q := range m.quotas {
-		m.quotas[j].amount = m.Tenants[q.tenant].Share * at[q.sw]
+		m.quotas[j].amount = m.Tenants[q.tenantIndex].Share * offeredWorth[q.switchIndex]
 	}
 }
 
-// layout says where things of a model stand in a program.
+// layout maps the parts of a model to the rows and columns of a program. Row and column
+// fields hold -1 where there is none.
 type layout struct {
-	m      *model
-	p      *program
-	part   []part // by block
-	resRow []int  // by resource: its row, or -1
-	slack  []int  // by resource: its slack's column, or -1
-	quoRow []int  // by quota: its row
-	beyond []int  // by quota: the column of worth beyond it, or -1
-	scaleW float64
-	scaleC float64
+	model        *model
+	program      *program
+	blocks       []block // in the order of the program's blocks
+	resourceRow  []int   // by resource: its capacity row
+	slackColumn  []int   // by resource: the column of its unused capacity
+	quotaRow     []int   // by quota
+	excessColumn []int   // by quota: the column of the worth beyond it
+	worthScale   float64
+	costScale    float64
 }
 
-// part is one block: the part of a demand that must be carried, or the rest.
-type part struct {
-	demand int
-	rate   float64
-	must   bool
-	col    int // of its first path
-	lost   int // its column, or -1
+// block is one block of the program: the part of a demand that must be carried, or the
+// remaining part.
+type block struct {
+	demand      int
+	rate        float64
+	must        bool
+	firstColumn int // column of its first path
+	lostColumn  int // column of its lost calls, or -1
 }
 
-// layout options.
-type want struct {
-	elastic bool             // musts may fall short
-	only    bool             // musts alone
-	skipDem func(d int) bool // demands left out
-	skipRes func(r int) bool // capacities left out
-	grow    bool             // capacities may be bought
+// layoutOptions selects the variant of the program that newLayout builds.
+type layoutOptions struct {
+	elastic        bool             // the required parts may be carried incompletely
+	mustOnly       bool             // only the required parts are included
+	skipDemand     func(d int) bool // demands to omit
+	skipResource   func(r int) bool // capacity rows to omit
+	expandCapacity bool             // capacity may be added at its unit cost
 }
 
-// lay builds the rows and columns, with all costs 0. Path columns count in shares of
-// the demand's rate and rows in shares of the capacity, so that all is near 1.
-func (m *model) lay(w want) *layout {
-	l := &layout{m: m, p: newProgram()}
-	l.resRow, l.slack = make([]int, len(m.res)), make([]int, len(m.res))
-	used := make([]bool, len(m.res))
-	usedQ := make([]bool, len(m.quotas))
+// newLayout builds the rows and columns of a program. All costs are 0, except those of
+// added capacity. Path columns are scaled to shares of the block's rate, and rows to
+// shares of the capacity, so that all values are near 1.
+func (m *model) newLayout(options layoutOptions) *layout {
+	l := &layout{model: m, program: newProgram()}
+	l.resourceRow, l.slackColumn = make([]int, len(m.resources)), make([]int, len(m.resources))
+	usedResources := make([]bool, len(m.resources))
+	usedQuotas := make([]bool, len(m.quotas))
 	for i, d := range m.Demands {
-		if w.skipDem != nil && w.skipDem(i) || len(m.paths[i]) == 0 || w.only && d.Must == 0 || d.Rate == 0 {
+		if options.skipDemand != nil && options.skipDemand(i) || len(m.paths[i]) == 0 || options.mustOnly && d.Must == 0 || d.Rate == 0 {
 			continue
 		}
-		if m.ofDemand[i] >= 0 && !w.only {
-			usedQ[m.ofDemand[i]] = true
+		if m.demandQuota[i] >= 0 && !options.mustOnly {
+			usedQuotas[m.demandQuota[i]] = true
 		}
 		for _, h := range m.paths[i] {
-			for _, r := range h.legs[:h.nlegs] {
-				used[r] = true
+			for _, r := range h.legs[:h.legCount] {
+				usedResources[r] = true
 			}
-			for _, r := range h.procs[:h.nprocs] {
-				used[r] = true
+			for _, r := range h.processors[:h.processorCount] {
+				usedResources[r] = true
 			}
 		}
 	}
 	rows := 0
-	for r := range m.res {
-		l.resRow[r], l.slack[r] = -1, -1
-		if used[r] && (w.skipRes == nil || !w.skipRes(r)) {
-			l.resRow[r] = rows
+	for r := range m.resources {
+		l.resourceRow[r], l.slackColumn[r] = -1, -1
+		if usedResources[r] && (options.skipResource == nil || !options.skipResource(r)) {
+			l.resourceRow[r] = rows
 			rows++
 		}
 	}
-	l.quoRow, l.beyond = make([]int, len(m.quotas)), make([]int, len(m.quotas))
+	l.quotaRow, l.excessColumn = make([]int, len(m.quotas)), make([]int, len(m.quotas))
 	for j := range m.quotas {
-		l.quoRow[j], l.beyond[j] = -1, -1
-		if usedQ[j] && m.quotas[j].most > m.quotas[j].amount {
-			l.quoRow[j] = rows
+		l.quotaRow[j], l.excessColumn[j] = -1, -1
+		if usedQuotas[j] && m.quotas[j].maxCarried > m.quotas[j].amount {
+			l.quotaRow[j] = rows
 			rows++
 		}
 	}
-	l.p.rhs = make([]float64, rows)
-	var rr []int
-	var vv []float64
-	block := func(i int, rate float64, must, slack bool) {
+	l.program.rhs = make([]float64, rows)
+	var entryRows []int
+	var entryValues []float64
+	addBlock := func(i int, rate float64, must, slack bool) {
 		if rate <= 0 {
 			return
 		}
-		b := part{demand: i, rate: rate, must: must, col: len(l.p.c), lost: -1}
+		b := block{demand: i, rate: rate, must: must, firstColumn: len(l.program.c), lostColumn: -1}
 		for _, h := range m.paths[i] {
-			rr, vv = rr[:0], vv[:0]
-			for _, r := range h.legs[:h.nlegs] {
-				if l.resRow[r] >= 0 {
-					rr, vv = append(rr, l.resRow[r]), append(vv, rate*m.erlangs[i]/m.scale(r))
+			entryRows, entryValues = entryRows[:0], entryValues[:0]
+			for _, r := range h.legs[:h.legCount] {
+				if l.resourceRow[r] >= 0 {
+					entryRows, entryValues = append(entryRows, l.resourceRow[r]), append(entryValues, rate*m.erlangsPerRate[i]/m.rowScale(r))
 				}
 			}
-			for _, r := range h.procs[:h.nprocs] {
-				if l.resRow[r] >= 0 {
-					rr, vv = append(rr, l.resRow[r]), append(vv, rate/m.scale(r))
+			for _, r := range h.processors[:h.processorCount] {
+				if l.resourceRow[r] >= 0 {
+					entryRows, entryValues = append(entryRows, l.resourceRow[r]), append(entryValues, rate/m.rowScale(r))
 				}
 			}
-			if j := m.ofDemand[i]; j >= 0 && l.quoRow[j] >= 0 && m.worth[i] > 0 {
-				rr, vv = append(rr, l.quoRow[j]), append(vv, rate*m.worth[i]/m.quotas[j].most)
+			if j := m.demandQuota[i]; j >= 0 && l.quotaRow[j] >= 0 && m.callWorth[i] > 0 {
+				entryRows, entryValues = append(entryRows, l.quotaRow[j]), append(entryValues, rate*m.callWorth[i]/m.quotas[j].maxCarried)
 			}
-			l.p.column(0, 0, rr, vv)
+			l.program.addColumn(0, 0, entryRows, entryValues)
 		}
 		if slack {
-			b.lost = l.p.column(0, 0, nil, nil)
+			b.lostColumn = l.program.addColumn(0, 0, nil, nil)
 		}
-		l.p.endBlock(1)
-		l.part = append(l.part, b)
+		l.program.endBlock(1)
+		l.blocks = append(l.blocks, b)
 	}
 	for i, d := range m.Demands {
-		if len(m.paths[i]) == 0 || w.skipDem != nil && w.skipDem(i) {
+		if len(m.paths[i]) == 0 || options.skipDemand != nil && options.skipDemand(i) {
 			continue
 		}
-		block(i, d.Must, true, w.elastic)
-		if !w.only {
-			block(i, m.rate[i]-d.Must, false, true)
+		addBlock(i, d.Must, true, options.elastic)
+		if !options.mustOnly {
+			addBlock(i, m.boundedRate[i]-d.Must, false, true)
 		}
 	}
-	for r := range m.res {
-		if row := l.resRow[r]; row >= 0 {
-			l.slack[r] = l.p.column(0, 0, []int{row}, []float64{1})
-			l.p.rhs[row] = m.res[r].capacity / m.scale(r)
-			if w.grow {
-				l.p.column(m.priceOf(r)*m.scale(r), 0, []int{row}, []float64{-1})
+	for r := range m.resources {
+		if row := l.resourceRow[r]; row >= 0 {
+			l.slackColumn[r] = l.program.addColumn(0, 0, []int{row}, []float64{1})
+			l.program.rhs[row] = m.resources[r].capacity / m.rowScale(r)
+			if options.expandCapacity {
+				l.program.addColumn(m.unitCost(r)*m.rowScale(r), 0, []int{row}, []float64{-1})
 			}
 		}
 	}
 	for j, q := range m.quotas {
-		if row := l.quoRow[j]; row >= 0 {
-			l.beyond[j] = l.p.column(0, 0, []int{row}, []float64{-1})
-			l.p.column(0, 0, []int{row}, []float64{1})
-			l.p.rhs[row] = q.amount / q.most
+		if row := l.quotaRow[j]; row >= 0 {
+			l.excessColumn[j] = l.program.addColumn(0, 0, []int{row}, []float64{-1})
+			l.program.addColumn(0, 0, []int{row}, []float64{1})
+			l.program.rhs[row] = q.amount / q.maxCarried
 		}
 	}
 	return l
 }
 
-// scale is what a resource's row is divided by.
-func (m *model) scale(r int) float64 {
-	if c := m.res[r].capacity; c > 0 {
+// rowScale returns the divisor of a resource's row: its capacity, or 1 if it has none.
+func (m *model) rowScale(r int) float64 {
+	if c := m.resources[r].capacity; c > 0 {
 		return c
 	}
 	return 1
 }
 
-// priceOf is what one more unit of a resource costs.
-func (m *model) priceOf(r int) float64 {
+// unitCost returns the cost of one more unit of a resource; a cost of 0 counts as 1.
+func (m *model) unitCost(r int) float64 {
 	c := m.Costs.SetUp
-	if g := m.res[r].group; g >= 0 {
+	if g := m.resources[r].groupIndex; g >= 0 {
 		c = m.Groups[g].Cost
 	}
 	if c == 0 {
@@ -365,114 +374,115 @@
 	return c
 }
 
-// worthAt is what a part's whole rate is worth a second.
-func (l *layout) worthAt(b part) float64 { return b.rate * l.m.worth[b.demand] }
+// blockWorth returns the worth a second of a block's whole rate.
+func (l *layout) blockWorth(b block) float64 { return b.rate * l.model.callWorth[b.demand] }
 
-// totalWorth is the worth of all that may be carried.
+// totalWorth returns the worth a second of all blocks.
 func (l *layout) totalWorth() float64 {
 	sum := 0.0
-	for _, b := range l.part {
-		sum += l.worthAt(b)
+	for _, b := range l.blocks {
+		sum += l.blockWorth(b)
 	}
 	return sum
 }
 
-// setWorth makes the most worth the objective, in shares of all worth offered.
-func (l *layout) setWorth() {
-	if l.scaleW = l.totalWorth(); l.scaleW == 0 {
-		return // nothing is worth anything: no objective, no prices
+// setWorthObjective makes the objective the maximum worth, scaled by totalWorth.
+func (l *layout) setWorthObjective() {
+	if l.worthScale = l.totalWorth(); l.worthScale == 0 {
+		return // no call has worth: no objective and no prices
 	}
-	for _, b := range l.part {
-		for k := range l.m.paths[b.demand] {
-			l.p.c[b.col+k] = -l.worthAt(b) / l.scaleW
+	for _, b := range l.blocks {
+		for k := range l.model.paths[b.demand] {
+			l.program.c[b.firstColumn+k] = -l.blockWorth(b) / l.worthScale
 		}
 	}
-	for j, col := range l.beyond {
+	for j, col := range l.excessColumn {
 		if col >= 0 {
-			l.p.c[col] = (1 - beyondShare) * l.m.quotas[j].most / l.scaleW
+			l.program.c[col] = (1 - excessWorthFactor) * l.model.quotas[j].maxCarried / l.worthScale
 		}
 	}
 }
 
-// setCost makes the least cost the objective, in shares of the dearest plan. It
-// says whether there is any cost.
-func (l *layout) setCost() bool {
-	clear(l.p.c)
-	l.scaleC = 0
-	for _, b := range l.part {
-		dear := 0.0
-		for k, h := range l.m.paths[b.demand] {
-			l.p.c[b.col+k] = b.rate * h.cost
-			dear = max(dear, b.rate*h.cost)
-		}
-		l.scaleC += dear
-	}
-	if l.scaleC == 0 {
+// setCostObjective makes the objective the minimum cost, scaled by the cost of the most
+// expensive plan. It reports whether any path has a cost.
+func (l *layout) setCostObjective() bool {
+	clear(l.program.c)
+	l.costScale = 0
+	for _, b := range l.blocks {
+		maxCost := 0.0
+		for k, h := range l.model.paths[b.demand] {
+			l.program.c[b.firstColumn+k] = b.rate * h.cost
+			maxCost = max(maxCost, b.rate*h.cost)
+		}
+		l.costScale += maxCost
+	}
+	if l.costScale == 0 {
 		return false
 	}
-	for j := range l.p.c {
-		l.p.c[j] /= l.scaleC
+	for j := range l.program.c {
+		l.program.c[j] /= l.costScale
 	}
 	return true
 }
 
-// hold adds a row that keeps the present objective at most at a value.
-func (l *layout) hold(most float64) {
-	p := l.p
+// limitObjective adds a row that keeps the present objective at or below limit.
+func (l *layout) limitObjective(limit float64) {
+	p := l.program
 	row := len(p.rhs)
-	p.rhs = append(p.rhs, most)
-	first, rows, vals := []int{0}, make([]int, 0, len(p.row)+len(p.c)), make([]float64, 0, len(p.row)+len(p.c))
+	p.rhs = append(p.rhs, limit)
+	first, rows, vals := []int{0}, make([]int, 0, len(p.rowIndex)+len(p.c)), make([]float64, 0, len(p.rowIndex)+len(p.c))
 	for j, c := range p.c {
-		rows = append(rows, p.row[p.first[j]:p.first[j+1]]...)
-		vals = append(vals, p.val[p.first[j]:p.first[j+1]]...)
+		rows = append(rows, p.rowIndex[p.columnStart[j]:p.columnStart[j+1]]...)
+		vals = append(vals, p.values[p.columnStart[j]:p.columnStart[j+1]]...)
 		if c != 0 {
 			rows, vals = append(rows, row), append(vals, c)
 		}
 		first = append(first, len(rows))
 	}
-	p.first, p.row, p.val = first, rows, vals
-	p.column(0, 0, []int{row}, []float64{1})
+	p.columnStart, p.rowIndex, p.values = first, rows, vals
+	p.addColumn(0, 0, []int{row}, []float64{1})
 }
 
-// canonShare is how much the canonical answer counts against evenness.
-const canonShare = 1e-4
+// leastSquaresFactor weights the sum of squared path shares, which makes the answer
+// unique, against evenness.
+const leastSquaresFactor = 1e-4
 
-// evenShare is what evenness counts against cost where both are one objective.
-const evenShare = 0.01
+// evennessFactor weights evenness against cost where both form one objective.
+const evennessFactor = 0.01
 
-// setEven makes the evenest spare room the objective, and among answers that are
-// equally even the one with the least squares. With cost, it is added to the cost
-// that the objective holds, at a small share.
-func (l *layout) setEven(cost bool) {
-	share := 1.0
-	if cost {
-		share = evenShare
+// setEvennessObjective makes the objective the most even utilization, and among equally
+// even answers the one with the smallest sum of squared path shares. With withCost, it
+// adds this term, weighted by evennessFactor, to the cost that is the present objective.
+func (l *layout) setEvennessObjective(withCost bool) {
+	factor := 1.0
+	if withCost {
+		factor = evennessFactor
 	} else {
-		clear(l.p.c)
+		clear(l.program.c)
 	}
-	groups, procs := 0.0, 0.0
-	for r, res := range l.m.res {
-		if l.resRow[r] >= 0 && res.group >= 0 {
-			groups += res.capacity
-		} else if l.resRow[r] >= 0 {
-			procs += res.capacity
+	groupCapacity, processorCapacity := 0.0, 0.0
+	for r, res := range l.model.resources {
+		if l.resourceRow[r] >= 0 && res.groupIndex >= 0 {
+			groupCapacity += res.capacity
+		} else if l.resourceRow[r] >= 0 {
+			processorCapacity += res.capacity
 		}
 	}
-	for r, res := range l.m.res {
-		if l.resRow[r] < 0 {
+	for r, res := range l.model.resources {
+		if l.resourceRow[r] < 0 {
 			continue
 		}
-		w := res.capacity / groups
-		if res.group < 0 {
-			w = res.capacity / procs
+		w := res.capacity / groupCapacity
+		if res.groupIndex < 0 {
+			w = res.capacity / processorCapacity
 		}
-		w *= share
-		// (1-s)^2 w, with s the spare share that the slack holds.
-		l.p.c[l.slack[r]], l.p.q[l.slack[r]] = -2*w, 2*w
+		w *= factor
+		// Adds w (1-s)^2, where s, the slack, is the unused share of the capacity.
+		l.program.c[l.slackColumn[r]], l.program.q[l.slackColumn[r]] = -2*w, 2*w
 	}
-	for _, b := range l.part {
-		for k := range l.m.paths[b.demand] {
-			l.p.q[b.col+k] = share * canonShare * 2 * b.rate / max(l.m.totalRate, math.SmallestNonzeroFloat64)
+	for _, b := range l.blocks {
+		for k := range l.model.paths[b.demand] {
+			l.program.q[b.firstColumn+k] = factor * leastSquaresFactor * 2 * b.rate / max(l.model.totalRate, math.SmallestNonzeroFloat64)
 		}
 	}
 }
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -1,13 +1,14 @@
-// Package plan works out ahead of time how the calls of a mesh are best carried:
-// for each class and ordered pair of switches the share that goes direct, by each
-// tandem and not at all, for each tenant the share admitted, and for each group
-// and processor what one more unit is worth. docs/plan.md states the program.
+// Package plan computes in advance how the calls of a mesh are best carried: for
+// each class and ordered pair of switches the rates that are routed direct, via each
+// tandem and not at all; for each tenant the admitted worth; and for each trunk group
+// and processor the worth of one more unit of capacity. docs/plan.md gives the
+// mathematical program.
 //
-// It does no I/O, has no clock and starts no goroutine. All functions may be
-// called by several goroutines at once, as nothing is shared or changed.
+// The package does no I/O, reads no clock and starts no goroutine. All functions are
+// safe for concurrent use, since they share no state and don't modify their arguments.
 //
-// Units: times in seconds, rates in calls a second, loads of groups in erlangs of
-// circuits, loads of processors in set-ups a second, worth as the classes give it.
+// Units: times in seconds, rates in calls/s, loads of groups in erlangs of circuits,
+// loads of processors in set-ups/s, worth in the unit that the classes use.
 package plan
 
 import (
@@ -18,7 +19,7 @@
 	"slices"
 )
 
-// Bounds of a problem. A figure is finite, at least 0 and at most MaxValue.
+// Limits of a problem. Every rate, cost and worth is from 0 to MaxValue.
 const (
 	MaxSwitches = 128
 	MaxClasses  = 16
@@ -28,13 +29,14 @@
 	MaxValue    = 1e9
 )
 
-// beyondShare is what worth beyond a tenant's share counts.
-const beyondShare = 0.1
+// excessWorthFactor weights the worth that is carried beyond a tenant's share.
+const excessWorthFactor = 0.1
 
-// Phase is what a switch may be planned for.
+// Phase says whether a switch may carry planned calls.
 type Phase uint8
 
-// The phases of a switch. Nothing is planned from, over or to one that is not Up.
+// Phases of a switch. Only a switch that is Up is planned as an origin, a tandem or a
+// destination.
 const (
 	Up Phase = iota
 	Draining
@@ -44,8 +46,8 @@
 // Class is a class of call.
 type Class struct {
 	ID    string
-	Width int     // circuits on each group, 1 or more
-	Hold  float64 // mean, seconds, above 0
+	Width int     // circuits that a call takes on each group, at least 1
+	Hold  float64 // mean holding time, seconds, above 0
 	Worth float64 // of one call
 }
 
@@ -53,40 +55,40 @@
 type Switch struct {
 	ID     string
 	Yard   string
-	SetUps float64 // calls a second that its processor bears, own, incoming and in transit
+	SetUps float64 // processor capacity in set-ups/s: originating, terminating and transit calls
 	Phase  Phase
 }
 
-// Group is a trunk group between two switches, used from both ends.
+// Group is a trunk group between two switches; either end may seize its circuits.
 type Group struct {
 	A, B     string
 	Circuits int
-	Cost     float64 // of one circuit, for each erlang carried
+	Cost     float64 // for each erlang carried
 }
 
-// Demand is what is offered of a class from one switch to another.
+// Demand is the offered traffic of one class from one switch to another.
 type Demand struct {
 	Class, From, To string
-	Tenant          string  // "": none, and no share is counted
+	Tenant          string  // "": no tenant, and no share applies
 	Rate            float64 // calls/s
 	Must            float64 // calls/s of Rate that must be carried
 }
 
-// Tenant has a share of the worth that is offered at each switch. Worth beyond it
-// counts a tenth.
+// Tenant is entitled to a share of the worth that is offered at each switch. Worth
+// carried beyond that share counts a tenth.
 type Tenant struct {
 	ID    string
 	Share float64 // 0 to 1
 }
 
-// Costs of routes, for each call a second, and of capacity for enlargements.
+// Costs are the costs of routes, for each call/s, and of added processor capacity.
 type Costs struct {
-	Tandem float64 // of a call that goes by a tandem
-	Yard   float64 // of each leg between two yards
-	SetUp  float64 // of one set-up a second more at a processor; 0 counts as 1
+	Tandem float64 // of a call via a tandem
+	Yard   float64 // of each leg between different yards
+	SetUp  float64 // of one more set-up/s of processor capacity; 0 counts as 1
 }
 
-// Problem is what is to be planned. The order of its lists has no meaning.
+// Problem is the input of Solve. The order of its lists has no effect.
 type Problem struct {
 	Classes  []Class
 	Switches []Switch
@@ -94,15 +96,15 @@
 	Demands  []Demand
 	Tenants  []Tenant
 	Costs    Costs
-	// Target is the blocking of the widest class at which a group counts as full;
-	// 0 counts every circuit, as if calls could be fitted without gaps.
+	// Target is the blocking probability of the widest class at which a group counts
+	// as full. With 0 every circuit counts, as if calls filled a group without gaps.
 	Target float64
 }
 
-// FieldError is a figure or name that a problem may not have.
+// FieldError reports an invalid value or name in a problem.
 type FieldError struct {
 	List   string // "classes", "switches", "groups", "demands", "tenants", "costs" or "target"
-	Index  int    // place in that list, from 0
+	Index  int    // index in that list, from 0
 	Key    string
 	Reason string
 }
@@ -111,32 +113,36 @@
 	return fmt.Sprintf("plan: %s[%d]: key %s: %s", e.List, e.Index, e.Key, e.Reason)
 }
 
-// Errors that callers tell apart.
+// Errors that callers distinguish. ErrStopped is returned when Options.Stop returned
+// true.
 var (
 	ErrStopped    = errors.New("plan: stopped before an answer was found")
-	ErrUnverified = errors.New("plan: the answer failed its verification")
+	ErrUnverified = errors.New("plan: the answer failed verification")
 )
 
-func figure(list string, i int, key string, v float64) error {
+// checkValue returns a *FieldError unless v is from 0 to MaxValue.
+func checkValue(list string, i int, key string, v float64) error {
 	if math.IsNaN(v) || v < 0 || v > MaxValue {
-		return &FieldError{list, i, key, fmt.Sprintf("%v is not a figure from 0 to %g", v, float64(MaxValue))}
+		return &FieldError{list, i, key, fmt.Sprintf("%v is not a number from 0 to %g", v, float64(MaxValue))}
 	}
 	return nil
 }
 
-// pair is the two ends of a group in the order of their names.
+// pair holds the IDs of a group's two ends in alphabetical order. As a key, a processor
+// is the pair of its switch's ID and "".
 type pair struct{ a, b string }
 
 func pairOf(a, b string) pair { return pair{min(a, b), max(a, b)} }
 
-// Check returns every fault of a problem, each a *FieldError.
+// Check returns all faults of a problem, each as a *FieldError. It returns after the
+// first list that has too many entries.
 func (p *Problem) Check() []error {
 	var errs []error
 	add := func(list string, i int, key, format string, args ...any) {
 		errs = append(errs, &FieldError{list, i, key, fmt.Sprintf(format, args...)})
 	}
-	fig := func(list string, i int, key string, v float64) {
-		if err := figure(list, i, key, v); err != nil {
+	value := func(list string, i int, key string, v float64) {
+		if err := checkValue(list, i, key, v); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -146,58 +152,58 @@
 	}{{"classes", len(p.Classes), MaxClasses}, {"switches", len(p.Switches), MaxSwitches},
 		{"groups", len(p.Groups), MaxSwitches * MaxSwitches}, {"demands", len(p.Demands), MaxDemands}, {"tenants", len(p.Tenants), MaxTenants}} {
 		if n.len > n.max {
-			add(n.list, n.max, "name", "more than %d", n.max)
-			return errs // the rest would be as long
+			add(n.list, n.max, "name", "more than %d entries", n.max)
+			return errs // avoids one error for each entry of an oversized list
 		}
 	}
-	named := func(list string, i int, id string, seen map[string]int) {
+	checkName := func(list string, i int, id string, seen map[string]int) {
 		if id == "" {
 			add(list, i, "name", "missing")
-		} else if was, twice := seen[id]; twice {
-			add(list, i, "name", "%q stands at %d already", id, was)
+		} else if first, duplicate := seen[id]; duplicate {
+			add(list, i, "name", "%q is already used at index %d", id, first)
 		} else {
 			seen[id] = i
 		}
 	}
 	classes, switches, tenants := map[string]int{}, map[string]int{}, map[string]int{}
 	for i, c := range p.Classes {
-		named("classes", i, c.ID, classes)
+		checkName("classes", i, c.ID, classes)
 		if c.Width < 1 || c.Width > MaxCircuits {
 			add("classes", i, "width", "%d is not from 1 to %d", c.Width, MaxCircuits)
 		}
-		if fig("classes", i, "hold_s", c.Hold); c.Hold == 0 {
-			add("classes", i, "hold_s", "0: a call lasts longer")
+		if value("classes", i, "hold_s", c.Hold); c.Hold == 0 {
+			add("classes", i, "hold_s", "0: must be above 0")
 		}
-		fig("classes", i, "worth", c.Worth)
+		value("classes", i, "worth", c.Worth)
 	}
 	for i, s := range p.Switches {
-		named("switches", i, s.ID, switches)
-		fig("switches", i, "set_ups_per_second", s.SetUps)
+		checkName("switches", i, s.ID, switches)
+		value("switches", i, "set_ups_per_second", s.SetUps)
 		if s.Phase > Removed {
-			add("switches", i, "status", "%d is no phase", s.Phase)
+			add("switches", i, "status", "%d is not a valid phase", s.Phase)
 		}
 	}
 	groups := map[pair]int{}
 	for i, g := range p.Groups {
 		for _, e := range []struct{ key, id string }{{"a", g.A}, {"b", g.B}} {
 			if _, ok := switches[e.id]; !ok {
-				add("groups", i, e.key, "%q is no switch", e.id)
+				add("groups", i, e.key, "%q is not a switch", e.id)
 			}
 		}
 		if g.A == g.B {
 			add("groups", i, "b", "both ends are %q", g.A)
 		}
-		if was, twice := groups[pairOf(g.A, g.B)]; twice {
-			add("groups", i, "b", "%s and %s have a group at %d already", g.A, g.B, was)
+		if first, duplicate := groups[pairOf(g.A, g.B)]; duplicate {
+			add("groups", i, "b", "%s and %s already have a group at index %d", g.A, g.B, first)
 		}
 		groups[pairOf(g.A, g.B)] = i
 		if g.Circuits < 0 || g.Circuits > MaxCircuits {
 			add("groups", i, "circuits", "%d is not from 0 to %d", g.Circuits, MaxCircuits)
 		}
-		fig("groups", i, "cost", g.Cost)
+		value("groups", i, "cost", g.Cost)
 	}
 	for i, t := range p.Tenants {
-		named("tenants", i, t.ID, tenants)
+		checkName("tenants", i, t.ID, tenants)
 		if !(t.Share >= 0 && t.Share <= 1) {
 			add("tenants", i, "share", "%v is not from 0 to 1", t.Share)
 		}
@@ -220,26 +226,26 @@
 			add("demands", i, "to", "both ends are %q", d.From)
 		}
 		k := key{d.Class, d.From, d.To, d.Tenant}
-		if was, twice := demands[k]; twice {
-			add("demands", i, "to", "the same class, ends and tenant stand at %d already", was)
+		if first, duplicate := demands[k]; duplicate {
+			add("demands", i, "to", "the entry at index %d has the same class, ends and tenant", first)
 		}
 		demands[k] = i
-		fig("demands", i, "calls_per_second", d.Rate)
-		if fig("demands", i, "must", d.Must); d.Must > d.Rate {
-			add("demands", i, "must", "%v is more than the %v offered", d.Must, d.Rate)
+		value("demands", i, "calls_per_second", d.Rate)
+		if value("demands", i, "must", d.Must); d.Must > d.Rate {
+			add("demands", i, "must", "%v exceeds the offered %v", d.Must, d.Rate)
 		}
 	}
-	fig("costs", 0, "tandem", p.Costs.Tandem)
-	fig("costs", 0, "yard", p.Costs.Yard)
-	fig("costs", 0, "set_up", p.Costs.SetUp)
+	value("costs", 0, "tandem", p.Costs.Tandem)
+	value("costs", 0, "yard", p.Costs.Yard)
+	value("costs", 0, "set_up", p.Costs.SetUp)
 	if !(p.Target >= 0 && p.Target < 1) {
-		add("target", 0, "blocking", "%v is not from 0 to 1", p.Target)
+		add("target", 0, "blocking", "%v is not at least 0 and below 1", p.Target)
 	}
 	return errs
 }
 
-// sorted returns a copy with every list in the order of its names, so that the
-// order of the input decides nothing, not even the last bit of a sum.
+// sorted returns a copy with every list sorted by name, so that the order of the input
+// affects nothing, not even the last bit of a sum.
 func (p *Problem) sorted() *Problem {
 	q := *p
 	q.Classes, q.Switches, q.Groups = slices.Clone(p.Classes), slices.Clone(p.Switches), slices.Clone(p.Groups)
@@ -259,50 +265,52 @@
 	return &q
 }
 
-// Via is the part of a demand that goes by one tandem.
+// Via is the part of a demand that is routed via one tandem.
 type Via struct {
 	Tandem string
 	Rate   float64 // calls/s
 }
 
-// Route is how one demand is carried. Direct, Via and Lost add up to Rate.
+// Route says how one demand is carried. Direct, the rates of Via, and Lost add up to
+// the demand's Rate; all are in calls/s.
 type Route struct {
 	Demand
 	Direct float64
-	Via    []Via // by the tandem's name; those that get nothing are left out
+	Via    []Via // sorted by tandem; tandems without calls are omitted
 	Lost   float64
 }
 
-// Admit is what is admitted of one tenant's worth at one switch.
+// Admit is the admitted worth of one tenant at one switch.
 type Admit struct {
 	Tenant, Switch string
 	Offered        float64 // worth a second
-	Quota          float64 // its share of all worth offered at the switch
-	Admitted       float64 // worth a second that is carried, within the quota or beyond
+	Quota          float64 // the tenant's share of all worth offered at the switch, worth a second
+	Admitted       float64 // worth a second that is carried, within and beyond the quota
 }
 
-// Load is how full a group (both A and B) or a processor (A alone) is planned.
+// Load is the planned load of a group (A and B are its ends) or of a processor (A is
+// its switch, B is empty).
 type Load struct {
 	A, B     string
-	Load     float64 // erlangs of circuits, or set-ups a second
-	Capacity float64 // in the same unit, after the discount for blocking
-	Price    float64 // worth a second of one more unit of Capacity
-	One      float64 // worth a second of one more circuit, or one more set-up a second
+	Load     float64 // erlangs of circuits, or set-ups/s
+	Capacity float64 // in the same unit; for a group, reduced to meet the target blocking
+	Price    float64 // shadow price: worth a second of one more unit of Capacity
+	One      float64 // worth a second of one more circuit, or of one more set-up/s
 }
 
-// Answer is a plan. All lists are in the order of their names.
+// Answer is a plan. All lists are sorted by name.
 type Answer struct {
 	Routes    []Route
 	Tenants   []Admit
 	Groups    []Load
 	Switches  []Load
-	Shares    []float64 // price of each of Tenants' quota: worth for each unit of it
-	Worth     float64   // worth a second, what lies beyond shares at a tenth
-	Bound     float64   // no plan is worth more
+	Shares    []float64 // shadow price of each quota in Tenants: worth for each unit of quota
+	Worth     float64   // worth a second; worth beyond the tenants' shares counts a tenth
+	Bound     float64   // upper bound on the worth of any plan
 	Gap       float64   // (Bound - Worth) / Bound
-	Cost      float64   // of routes and circuits, a second
-	Roughness float64   // sum of squared use of groups and processors, weighted by size; see docs/plan.md
-	Steps     int       // of the solver, all objectives
-	Stages    int       // objectives that were carried out, of 3; the last holds evenness and canon
-	StageErr  error     `json:"-"` // why the further ones were not, if Stages is below 3
+	Cost      float64   // of routes and carried erlangs, a second
+	Roughness float64   // sum of squared utilization of groups and processors, weighted by capacity; see docs/plan.md
+	Steps     int       // interior-point iterations, all objectives
+	Stages    int       // objectives that were optimized, of 3: worth, cost, and evenness with least squares
+	StageErr  error     `json:"-"` // why the later objectives were not optimized, if Stages is below 3
 }
--- a/decide/plan/solve.go
+++ b/decide/plan/solve.go
@@ -6,24 +6,26 @@
 	"math"
 )
 
-// Options of a solve. The zero value asks for all the precision there is.
+// Options configure Solve. The zero value requests the highest precision.
 type Options struct {
-	// Gap is the share of the bound by which the worth may miss it; an answer
-	// beyond it is ErrUnproven. 0: 1e-6. A wider gap needs fewer steps. From 1e-4 on,
-	// cost and evenness are one objective, with evenness at a hundredth.
+	// Gap is the largest allowed relative difference between the worth and its upper
+	// bound; an answer with a larger one is ErrUnverified. 0 means 1e-6. A wider gap
+	// needs fewer steps. From 1e-4 on, cost and evenness form one objective, in which
+	// evenness counts a hundredth.
 	Gap float64
-	// Stop is asked before each step; true ends the solve with ErrStopped.
+	// Stop, if not nil, is called before each step; true ends the solve with ErrStopped.
 	Stop func() bool
 }
 
-// Defaults of a solve.
+// Defaults and limits of a solve.
 const (
-	defaultGap = 1e-6
-	maxSteps   = 200   // of one objective
-	finest     = 1e-10 // relative residual and gap that the solver is asked for
-	dust       = 1e-7  // share of a demand's rate under which a way gets nothing
+	defaultGap      = 1e-6
+	maxSteps        = 200   // for each objective
+	finestTolerance = 1e-10 // smallest relative residual and gap that is requested of the solver
+	minPathShare    = 1e-7  // share of a demand's rate below which a path gets no calls
 )
 
+// gap returns Gap, or its default.
 func (o Options) gap() float64 {
 	if o.Gap <= 0 {
 		return defaultGap
@@ -31,58 +33,60 @@
 	return o.Gap
 }
 
-// precision is what the solver is asked for so that the gap will hold.
-func (o Options) precision() float64 {
+// tolerance returns the solver tolerance with which the answer stays within the gap.
+func (o Options) tolerance() float64 {
 	if o.gap() < 1e-4 {
-		return finest
+		return finestTolerance
 	}
 	return min(1e-3, o.gap()/50)
 }
 
-// Solve returns the plan of a problem. The error is the first of Check's, an
-// *Infeasible if the musts don't fit, ErrStopped, or wraps ErrUnproven.
+// Solve returns the plan of a problem. The error is the first one that Check returns, an
+// *Infeasible if the required calls can't all be carried, ErrStopped, an error of the
+// solver, or wraps ErrUnverified.
 func Solve(p *Problem, o Options) (*Answer, error) {
 	if errs := p.Check(); len(errs) > 0 {
 		return nil, errs[0]
 	}
 	m := newModel(p, false)
 	steps := 0
-	if bad, n, err := m.short(want{}, o); err != nil {
+	if proof, n, err := m.findShortfall(layoutOptions{}, o); err != nil {
 		return nil, err
-	} else if steps = n; bad != nil {
-		return nil, m.explain(p, bad, o)
+	} else if steps = n; proof != nil {
+		return nil, m.explainInfeasible(p, proof, o)
 	}
-	l := m.lay(want{})
-	l.setWorth()
-	first, err := l.p.solve(o.precision(), maxSteps, o.Stop)
+	l := m.newLayout(layoutOptions{})
+	l.setWorthObjective()
+	worthPoint, err := l.program.solve(o.tolerance(), maxSteps, o.Stop)
 	if err != nil {
 		return nil, err
 	}
-	steps += first.steps
-	a := l.answer(first)
-	l.price(a, first)
+	steps += worthPoint.steps
+	a := l.answer(worthPoint)
+	l.setPrices(a, worthPoint)
 	a.Steps, a.Stages = steps, 1
-	if err := a.prove(p, o); err != nil {
+	if err := a.verify(p, o); err != nil {
 		return nil, err
 	}
-	// The further objectives may fail on rounding; the plan before then stands.
-	if a.StageErr = l.refine(p, a, first, o); errors.Is(a.StageErr, ErrStopped) {
+	// The later objectives may fail because of rounding; then the plan found so far is kept.
+	if a.StageErr = l.refine(p, a, worthPoint, o); errors.Is(a.StageErr, ErrStopped) {
 		return nil, a.StageErr
 	}
 	return a, nil
 }
 
-// refine carries the further objectives out, each on what the ones before hold.
+// refine optimizes the later objectives, each subject to the values that the earlier ones
+// reached. After each stage whose answer is verified it replaces a.
 func (l *layout) refine(p *Problem, a *Answer, pt *point, o Options) error {
-	loose := 5 * o.precision()
-	hold := func(pt *point) {
-		most := 0.0
-		for j, c := range l.p.c {
-			most += c * pt.x[j]
+	margin := 5 * o.tolerance()
+	limitTo := func(pt *point) {
+		value := 0.0
+		for j, c := range l.program.c {
+			value += c * pt.x[j]
 		}
-		l.hold(most + loose)
+		l.limitObjective(value + margin)
 	}
-	take := func(pt *point, stage int) error {
+	accept := func(pt *point, stage int) error {
 		b := l.answer(pt)
 		b.Steps, b.Stages, b.Shares = a.Steps+pt.steps, stage, a.Shares
 		for i := range b.Groups {
@@ -91,86 +95,86 @@
 		for i := range b.Switches {
 			b.Switches[i].Price, b.Switches[i].One = a.Switches[i].Price, a.Switches[i].One
 		}
-		if err := b.prove(p, o); err != nil {
+		if err := b.verify(p, o); err != nil {
 			return err
 		}
 		*a = *b
 		return nil
 	}
-	hold(pt)
-	cost := l.setCost()
-	together := cost && o.precision() >= coarse
-	if cost && !together {
-		next, err := l.p.solve(o.precision(), maxSteps, o.Stop)
+	limitTo(pt)
+	hasCost := l.setCostObjective()
+	combined := hasCost && o.tolerance() >= coarseTolerance
+	if hasCost && !combined {
+		next, err := l.program.solve(o.tolerance(), maxSteps, o.Stop)
 		if err != nil {
 			return err
 		}
-		if err := take(next, 2); err != nil {
+		if err := accept(next, 2); err != nil {
 			return err
 		}
-		hold(next)
+		limitTo(next)
 	}
-	l.setEven(together)
-	next, err := l.p.solve(o.precision(), maxSteps, o.Stop)
+	l.setEvennessObjective(combined)
+	next, err := l.program.solve(o.tolerance(), maxSteps, o.Stop)
 	if err != nil {
 		return err
 	}
-	return take(next, 3)
+	return accept(next, 3)
 }
 
-// prove has the independent verifier look at an answer.
-func (a *Answer) prove(p *Problem, o Options) error {
-	proof, err := Verify(p, a, o.gap())
+// verify checks the answer with Verify and stores the worth, bound and gap that it found.
+func (a *Answer) verify(p *Problem, o Options) error {
+	result, err := Verify(p, a, o.gap())
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnverified, err)
 	}
-	a.Worth, a.Bound, a.Gap = proof.Worth, proof.Bound, proof.Gap
+	a.Worth, a.Bound, a.Gap = result.Worth, result.Bound, result.Gap
 	return nil
 }
 
-// answer reads a plan off a point: small errors of rounding are taken out, so
-// that every load is within its capacity and every demand adds up.
+// answer converts a point to a plan. It removes small rounding errors, so that every load
+// is within its capacity and every demand adds up.
 func (l *layout) answer(pt *point) *Answer {
-	m := l.m
-	flow := make([][]float64, len(m.Demands))
-	for i := range flow {
-		flow[i] = make([]float64, len(m.paths[i]))
+	m := l.model
+	flows := make([][]float64, len(m.Demands))
+	for i := range flows {
+		flows[i] = make([]float64, len(m.paths[i]))
 	}
-	for _, b := range l.part {
+	for _, b := range l.blocks {
 		for k := range m.paths[b.demand] {
-			flow[b.demand][k] += max(0, pt.x[b.col+k]) * b.rate
+			flows[b.demand][k] += max(0, pt.x[b.firstColumn+k]) * b.rate
 		}
 	}
-	load := make([]float64, len(m.res))
-	count := func(i, k int, v float64) {
+	load := make([]float64, len(m.resources))
+	addLoad := func(i, k int, v float64) {
 		h := m.paths[i][k]
-		for _, r := range h.legs[:h.nlegs] {
-			load[r] += v * m.erlangs[i]
+		for _, r := range h.legs[:h.legCount] {
+			load[r] += v * m.erlangsPerRate[i]
 		}
-		for _, r := range h.procs[:h.nprocs] {
+		for _, r := range h.processors[:h.processorCount] {
 			load[r] += v
 		}
 	}
 	for i, d := range m.Demands {
 		sum := 0.0
-		for k, v := range flow[i] {
-			if v < dust*m.rate[i] {
-				flow[i][k] = 0
+		for k, v := range flows[i] {
+			if v < minPathShare*m.boundedRate[i] {
+				flows[i][k] = 0
 			}
-			sum += flow[i][k]
+			sum += flows[i][k]
 		}
-		for k := range flow[i] {
+		for k := range flows[i] {
 			if sum > d.Rate {
-				flow[i][k] *= d.Rate / sum
+				flows[i][k] *= d.Rate / sum
 			}
-			count(i, k, flow[i][k])
+			addLoad(i, k, flows[i][k])
 		}
 	}
-	fit := make([]float64, len(m.res))
-	for r := range fit {
-		fit[r] = 1
-		if load[r] > m.res[r].capacity {
-			fit[r] = m.res[r].capacity / load[r]
+	fitFactor := make([]float64, len(m.resources))
+	for r := range fitFactor {
+		fitFactor[r] = 1
+		if load[r] > m.resources[r].capacity {
+			fitFactor[r] = m.resources[r].capacity / load[r]
 		}
 	}
 	clear(load)
@@ -180,18 +184,18 @@
 		t := Route{Demand: d}
 		sum := 0.0
 		for k, h := range m.paths[i] {
-			f := 1.0
-			for _, r := range h.legs[:h.nlegs] {
-				f = min(f, fit[r])
+			factor := 1.0
+			for _, r := range h.legs[:h.legCount] {
+				factor = min(factor, fitFactor[r])
 			}
-			for _, r := range h.procs[:h.nprocs] {
-				f = min(f, fit[r])
+			for _, r := range h.processors[:h.processorCount] {
+				factor = min(factor, fitFactor[r])
 			}
-			v := flow[i][k] * f
+			v := flows[i][k] * factor
 			if v == 0 {
 				continue
 			}
-			count(i, k, v)
+			addLoad(i, k, v)
 			sum += v
 			a.Cost += v * h.cost
 			if h.via < 0 {
@@ -202,92 +206,93 @@
 		}
 		t.Lost = max(0, d.Rate-sum)
 		a.Routes = append(a.Routes, t)
-		if j := m.ofDemand[i]; j >= 0 {
-			carried[j] += sum * m.worth[i]
+		if j := m.demandQuota[i]; j >= 0 {
+			carried[j] += sum * m.callWorth[i]
 		}
 	}
 	for j, q := range m.quotas {
-		a.Tenants = append(a.Tenants, Admit{m.Tenants[q.tenant].ID, m.Switches[q.sw].ID, q.offered, q.amount, carried[j]})
+		a.Tenants = append(a.Tenants, Admit{m.Tenants[q.tenantIndex].ID, m.Switches[q.switchIndex].ID, q.offered, q.amount, carried[j]})
 	}
-	groups, procs := 0.0, 0.0
-	for _, res := range m.res {
-		if res.group >= 0 {
-			groups += res.capacity
+	groupCapacity, processorCapacity := 0.0, 0.0
+	for _, res := range m.resources {
+		if res.groupIndex >= 0 {
+			groupCapacity += res.capacity
 		} else {
-			procs += res.capacity
+			processorCapacity += res.capacity
 		}
 	}
 	for g, e := range m.Groups {
 		n := Load{A: e.A, B: e.B}
-		if r := m.ofGroup[g]; r >= 0 {
-			n.Load, n.Capacity = load[r], m.res[r].capacity
-			a.Roughness += n.Load / n.Capacity * n.Load / groups
+		if r := m.groupResource[g]; r >= 0 {
+			n.Load, n.Capacity = load[r], m.resources[r].capacity
+			a.Roughness += n.Load / n.Capacity * n.Load / groupCapacity
 		}
 		a.Groups = append(a.Groups, n)
 	}
 	for s, e := range m.Switches {
 		n := Load{A: e.ID}
-		if r := m.ofSw[s]; r >= 0 {
-			n.Load, n.Capacity = load[r], m.res[r].capacity
-			a.Roughness += n.Load / n.Capacity * n.Load / procs
+		if r := m.switchResource[s]; r >= 0 {
+			n.Load, n.Capacity = load[r], m.resources[r].capacity
+			a.Roughness += n.Load / n.Capacity * n.Load / processorCapacity
 		}
 		a.Switches = append(a.Switches, n)
 	}
 	return a
 }
 
-// price fills in the prices that the worth's program found.
-func (l *layout) price(a *Answer, pt *point) {
-	m := l.m
-	of := func(row int) float64 {
+// setPrices sets the shadow prices from the optimum of the worth objective.
+func (l *layout) setPrices(a *Answer, pt *point) {
+	m := l.model
+	price := func(row int) float64 {
 		if row < 0 {
 			return 0
 		}
-		if y := -pt.yr[row]; y > 1e-8 { // less is noise
-			return y * l.scaleW
+		if y := -pt.yr[row]; y > 1e-8 { // smaller values are rounding errors
+			return y * l.worthScale
 		}
 		return 0
 	}
 	for g, e := range m.Groups {
-		if r := m.ofGroup[g]; r >= 0 && l.resRow[r] >= 0 {
+		if r := m.groupResource[g]; r >= 0 && l.resourceRow[r] >= 0 {
 			n := &a.Groups[g]
-			n.Price = of(l.resRow[r]) / m.scale(r)
-			n.One = n.Price * (capacity(e.Circuits+1, m.res[r].mix, m.Target) - n.Capacity)
+			n.Price = price(l.resourceRow[r]) / m.rowScale(r)
+			n.One = n.Price * (plannedCapacity(e.Circuits+1, m.resources[r].mix, m.Target) - n.Capacity)
 		}
 	}
 	for s := range m.Switches {
-		if r := m.ofSw[s]; r >= 0 && l.resRow[r] >= 0 {
-			a.Switches[s].Price = of(l.resRow[r]) / m.scale(r)
+		if r := m.switchResource[s]; r >= 0 && l.resourceRow[r] >= 0 {
+			a.Switches[s].Price = price(l.resourceRow[r]) / m.rowScale(r)
 			a.Switches[s].One = a.Switches[s].Price
 		}
 	}
 	a.Shares = make([]float64, len(m.quotas))
 	for j, q := range m.quotas {
-		if l.quoRow[j] >= 0 {
-			a.Shares[j] = min(1-beyondShare, of(l.quoRow[j])/q.most)
+		if l.quotaRow[j] >= 0 {
+			a.Shares[j] = min(1-excessWorthFactor, price(l.quotaRow[j])/q.maxCarried)
 		}
 	}
-	// An offer far beyond its exchange's processor multiplies what rounding leaves of
-	// its gain; the processor's price takes that up for less.
+	// The bound multiplies the rounding error in a demand's gain by its rate. Where the
+	// rate exceeds the capacity of the exchange's processor, adding the gain to the
+	// processor's price instead multiplies it by that smaller capacity.
 	for i, d := range m.Demands {
-		s := m.sw[d.From]
+		s := m.switchIndex[d.From]
 		if d.Rate <= m.Switches[s].SetUps || len(m.paths[i]) == 0 {
 			continue
 		}
-		least := math.Inf(1)
+		minPrice := math.Inf(1)
 		for _, h := range m.paths[i] {
 			sum := 0.0
-			for _, r := range h.legs[:h.nlegs] {
-				sum += a.Groups[m.res[r].group].Price * m.erlangs[i]
+			for _, r := range h.legs[:h.legCount] {
+				sum += a.Groups[m.resources[r].groupIndex].Price * m.erlangsPerRate[i]
 			}
-			for _, r := range h.procs[:h.nprocs] {
-				sum += a.Switches[m.res[r].sw].Price
+			for _, r := range h.processors[:h.processorCount] {
+				sum += a.Switches[m.resources[r].switchIndex].Price
 			}
-			least = min(least, sum)
+			minPrice = min(minPrice, sum)
 		}
-		gain := m.worth[i] - least
-		if j := m.ofDemand[i]; j >= 0 {
-			gain -= a.Shares[j] * m.worth[i]
+		gain := m.callWorth[i] - minPrice
+		if j := m.demandQuota[i]; j >= 0 {
+			gain -= a.Shares[j] * m.callWorth[i]
 		}
 		if gain > 0 {
 			a.Switches[s].Price += gain * (1 + 1e-12)
@@ -295,56 +300,58 @@
 	}
 }
 
-// shortfall is the proof that musts don't fit.
+// shortfall is a proof that the required calls can't all be carried.
 type shortfall struct {
-	demands   []int // of which a part counts in the proof
-	resources []int
+	demands   []int // with a positive dual variable in the proof
+	resources []int // with a positive shadow price in the proof
 }
 
-// fits says how much of the musts may fall short by rounding.
-const fits = 1e-6
+// maxMissedShare is the share of a demand's required calls that may be missing because of
+// rounding.
+const maxMissedShare = 1e-6
 
-// short solves the musts alone and returns nil if they fit.
-func (m *model) short(w want, o Options) (*shortfall, int, error) {
-	w.elastic, w.only = true, true
+// findShortfall solves for the required calls alone and returns nil if they can all be
+// carried, and the number of steps.
+func (m *model) findShortfall(options layoutOptions, o Options) (*shortfall, int, error) {
+	options.elastic, options.mustOnly = true, true
 	total := 0.0
-	var lone []int
+	var withoutPath []int
 	for i, d := range m.Demands {
-		if d.Must > 0 && (w.skipDem == nil || !w.skipDem(i)) {
+		if d.Must > 0 && (options.skipDemand == nil || !options.skipDemand(i)) {
 			total += d.Must
 			if len(m.paths[i]) == 0 {
-				lone = append(lone, i)
+				withoutPath = append(withoutPath, i)
 			}
 		}
 	}
-	if len(lone) > 0 {
-		return &shortfall{demands: lone[:1]}, 0, nil
+	if len(withoutPath) > 0 {
+		return &shortfall{demands: withoutPath[:1]}, 0, nil
 	}
 	if total == 0 {
 		return nil, 0, nil
 	}
-	l := m.lay(w)
-	for _, b := range l.part {
-		l.p.c[b.lost] = b.rate / total
+	l := m.newLayout(options)
+	for _, b := range l.blocks {
+		l.program.c[b.lostColumn] = b.rate / total
 	}
-	pt, err := l.p.solve(finest, maxSteps, o.Stop)
+	pt, err := l.program.solve(finestTolerance, maxSteps, o.Stop)
 	if err != nil {
 		return nil, 0, err
 	}
-	missed := 0.0
-	for _, b := range l.part {
-		missed = max(missed, pt.x[b.lost])
+	missedShare := 0.0
+	for _, b := range l.blocks {
+		missedShare = max(missedShare, pt.x[b.lostColumn])
 	}
-	if missed <= fits {
+	if missedShare <= maxMissedShare {
 		return nil, pt.steps, nil
 	}
 	s := &shortfall{}
-	for k, b := range l.part {
+	for k, b := range l.blocks {
 		if pt.yb[k] > 1e-6*b.rate/total {
 			s.demands = append(s.demands, b.demand)
 		}
 	}
-	for r, row := range l.resRow {
+	for r, row := range l.resourceRow {
 		if row >= 0 && -pt.yr[row] > 1e-9 {
 			s.resources = append(s.resources, r)
 		}
@@ -352,12 +359,13 @@
 	return s, pt.steps, nil
 }
 
-// Constraint is one demand or capacity of a conflict.
+// Constraint is one demand or capacity in a conflict.
 type Constraint struct {
-	Demand *Demand // or nil
+	Demand *Demand // nil for a capacity
 	A, B   string  // a group's ends; B is "" for a switch
 }
 
+// String names the demand, group or switch.
 func (c Constraint) String() string {
 	switch {
 	case c.Demand != nil:
@@ -368,28 +376,28 @@
 	return "switch " + c.A
 }
 
-// Addition is capacity that would have to be bought.
+// Addition is capacity to add to a group or a switch.
 type Addition struct {
 	A, B     string  // a group's ends; B is "" for a switch
 	Circuits int     // of a group
-	SetUps   float64 // a second, of a switch
+	SetUps   float64 // of a switch, set-ups/s
 	Cost     float64
 }
 
-// Infeasible says that the musts can't all be carried.
+// Infeasible reports that the required calls can't all be carried.
 type Infeasible struct {
-	// Conflict is a minimal set of demands and capacities that contradict each
-	// other: without any one of them the rest fit.
+	// Conflict is a minimal set of demands and capacities that contradict each other:
+	// without any one of them, the others are feasible.
 	Conflict []Constraint
-	// Additions is the cheapest addition with which all musts fit, rounded up to
-	// whole circuits; empty with NoRoute.
+	// Additions is the cheapest set of additions with which all required calls can be
+	// carried, rounded up to whole circuits; empty if NoRoute.
 	Additions []Addition
-	Cost      float64
-	NoRoute   bool // the one demand of Conflict has no path, whatever is added to the groups
+	Cost      float64 // of all Additions
+	NoRoute   bool    // the single demand in Conflict has no path, even with capacity added to every group
 }
 
 func (e *Infeasible) Error() string {
-	s := "plan: no answer: these contradict each other:"
+	s := "plan: infeasible: these constraints contradict each other:"
 	for i, c := range e.Conflict {
 		if i == 8 {
 			return s + fmt.Sprintf(" and %d more", len(e.Conflict)-i)
@@ -402,81 +410,82 @@
 	return s
 }
 
-// explain finds the conflict and the cheapest enlargement. If the solver fails on
-// the way its error is returned in place of a set that might not be minimal.
-func (m *model) explain(p *Problem, bad *shortfall, o Options) error {
-	inDem, inRes := map[int]bool{}, map[int]bool{}
-	all := func() {
+// explainInfeasible returns an *Infeasible with a minimal conflict and the cheapest
+// additions. If the solver fails, it returns the solver's error instead of a conflict that
+// might not be minimal.
+func (m *model) explainInfeasible(p *Problem, proof *shortfall, o Options) error {
+	demands, resources := map[int]bool{}, map[int]bool{}
+	includeAll := func() {
 		for i, d := range m.Demands {
 			if d.Must > 0 {
-				inDem[i] = true
+				demands[i] = true
 			}
 		}
-		for r := range m.res {
-			inRes[r] = true
+		for r := range m.resources {
+			resources[r] = true
 		}
 	}
-	for _, i := range bad.demands {
-		inDem[i] = true
+	for _, i := range proof.demands {
+		demands[i] = true
 	}
-	for _, r := range bad.resources {
-		inRes[r] = true
+	for _, r := range proof.resources {
+		resources[r] = true
 	}
-	clash := func() (bool, error) {
-		s, _, err := m.short(want{skipDem: func(i int) bool { return !inDem[i] }, skipRes: func(r int) bool { return !inRes[r] }}, o)
+	conflicts := func() (bool, error) {
+		s, _, err := m.findShortfall(layoutOptions{skipDemand: func(i int) bool { return !demands[i] }, skipResource: func(r int) bool { return !resources[r] }}, o)
 		return s != nil, err
 	}
-	if still, err := clash(); err != nil {
+	if still, err := conflicts(); err != nil {
 		return err
-	} else if !still { // the proof lost a member in rounding: begin with all
-		all()
+	} else if !still { // rounding hid a constraint of the conflict: start with all of them
+		includeAll()
 	}
-	drop := func(in map[int]bool, k int) error {
-		if !in[k] {
+	dropIfRedundant := func(set map[int]bool, k int) error {
+		if !set[k] {
 			return nil
 		}
-		delete(in, k)
-		still, err := clash()
+		delete(set, k)
+		still, err := conflicts()
 		if !still {
-			in[k] = true
+			set[k] = true
 		}
 		return err
 	}
-	for r := range m.res {
-		if err := drop(inRes, r); err != nil {
+	for r := range m.resources {
+		if err := dropIfRedundant(resources, r); err != nil {
 			return err
 		}
 	}
 	for i := range m.Demands {
-		if err := drop(inDem, i); err != nil {
+		if err := dropIfRedundant(demands, i); err != nil {
 			return err
 		}
 	}
 	e := &Infeasible{}
 	for i := range m.Demands {
-		if inDem[i] {
+		if demands[i] {
 			d := m.Demands[i]
 			e.Conflict = append(e.Conflict, Constraint{Demand: &d})
 		}
 	}
-	for r, res := range m.res {
-		if !inRes[r] {
+	for r, res := range m.resources {
+		if !resources[r] {
 			continue
 		}
-		if res.group >= 0 {
-			e.Conflict = append(e.Conflict, Constraint{A: m.Groups[res.group].A, B: m.Groups[res.group].B})
+		if res.groupIndex >= 0 {
+			e.Conflict = append(e.Conflict, Constraint{A: m.Groups[res.groupIndex].A, B: m.Groups[res.groupIndex].B})
 		} else {
-			e.Conflict = append(e.Conflict, Constraint{A: m.Switches[res.sw].ID})
+			e.Conflict = append(e.Conflict, Constraint{A: m.Switches[res.switchIndex].ID})
 		}
 	}
-	if err := e.enlarge(p, o); err != nil {
+	if err := e.findAdditions(p, o); err != nil {
 		return err
 	}
 	return e
 }
 
-// enlarge finds the cheapest addition with which the musts fit.
-func (e *Infeasible) enlarge(p *Problem, o Options) error {
+// findAdditions sets the cheapest additions with which all required calls can be carried.
+func (e *Infeasible) findAdditions(p *Problem, o Options) error {
 	m := newModel(p, true)
 	for i, d := range m.Demands {
 		if d.Must > 0 && len(m.paths[i]) == 0 {
@@ -484,88 +493,88 @@
 			return nil
 		}
 	}
-	l := m.lay(want{only: true, grow: true})
+	l := m.newLayout(layoutOptions{mustOnly: true, expandCapacity: true})
 	scale := 1.0
-	for _, c := range l.p.c {
+	for _, c := range l.program.c {
 		scale = max(scale, c)
 	}
-	for j := range l.p.c {
-		l.p.c[j] /= scale
+	for j := range l.program.c {
+		l.program.c[j] /= scale
 	}
-	pt, err := l.p.solve(finest, maxSteps, o.Stop)
+	pt, err := l.program.solve(finestTolerance, maxSteps, o.Stop)
 	if err != nil {
 		return err
 	}
-	bigger := *m.Problem
-	bigger.Groups = append([]Group(nil), m.Groups...)
-	bigger.Switches = append([]Switch(nil), m.Switches...)
-	// A group must be as wide as the calls that the program sends over it.
-	width := make([]int, len(m.res))
-	for _, b := range l.part {
+	enlarged := *m.Problem
+	enlarged.Groups = append([]Group(nil), m.Groups...)
+	enlarged.Switches = append([]Switch(nil), m.Switches...)
+	// A group needs at least as many circuits as the widest call on it takes.
+	requiredWidth := make([]int, len(m.resources))
+	for _, b := range l.blocks {
 		for k, h := range m.paths[b.demand] {
-			for _, r := range h.legs[:h.nlegs] {
-				if pt.x[b.col+k] > dust {
-					width[r] = max(width[r], m.Classes[m.class[m.Demands[b.demand].Class]].Width)
+			for _, r := range h.legs[:h.legCount] {
+				if pt.x[b.firstColumn+k] > minPathShare {
+					requiredWidth[r] = max(requiredWidth[r], m.Classes[m.classIndex[m.Demands[b.demand].Class]].Width)
 				}
 			}
 		}
 	}
-	bought := map[int]Addition{}
-	for r, res := range m.res {
-		if l.resRow[r] < 0 {
+	additions := map[int]Addition{}
+	for r, res := range m.resources {
+		if l.resourceRow[r] < 0 {
 			continue
 		}
-		if g := res.group; g >= 0 && m.Groups[g].Circuits < width[r] {
-			bought[r] = Addition{A: m.Groups[g].A, B: m.Groups[g].B, Circuits: width[r] - m.Groups[g].Circuits}
-			bigger.Groups[g].Circuits = width[r]
+		if g := res.groupIndex; g >= 0 && m.Groups[g].Circuits < requiredWidth[r] {
+			additions[r] = Addition{A: m.Groups[g].A, B: m.Groups[g].B, Circuits: requiredWidth[r] - m.Groups[g].Circuits}
+			enlarged.Groups[g].Circuits = requiredWidth[r]
 		}
-		more := max(0, pt.x[l.slack[r]+1]) * m.scale(r)
-		if more <= 1e-6*max(1, res.capacity) {
+		extra := max(0, pt.x[l.slackColumn[r]+1]) * m.rowScale(r)
+		if extra <= 1e-6*max(1, res.capacity) {
 			continue
 		}
-		if g := res.group; g >= 0 {
-			n := circuitsFor(res.capacity+more*(1-1e-7), res.mix, m.Target)
-			n = max(n, width[r])
-			bought[r] = Addition{A: m.Groups[g].A, B: m.Groups[g].B, Circuits: n - m.Groups[g].Circuits}
-			bigger.Groups[g].Circuits = n
+		if g := res.groupIndex; g >= 0 {
+			n := circuitsFor(res.capacity+extra*(1-1e-7), res.mix, m.Target)
+			n = max(n, requiredWidth[r])
+			additions[r] = Addition{A: m.Groups[g].A, B: m.Groups[g].B, Circuits: n - m.Groups[g].Circuits}
+			enlarged.Groups[g].Circuits = n
 		} else {
-			more *= 1 + 1e-6 // the rounding of the check
-			bought[r] = Addition{A: m.Switches[res.sw].ID, SetUps: more}
-			bigger.Switches[res.sw].SetUps += more
+			extra *= 1 + 1e-6 // allows for rounding in the check that follows
+			additions[r] = Addition{A: m.Switches[res.switchIndex].ID, SetUps: extra}
+			enlarged.Switches[res.switchIndex].SetUps += extra
 		}
 	}
-	fit := func() (bool, error) {
-		s, _, err := newModel(&bigger, false).short(want{}, o)
+	mustsFit := func() (bool, error) {
+		s, _, err := newModel(&enlarged, false).findShortfall(layoutOptions{}, o)
 		return s == nil, err
 	}
-	if ok, err := fit(); err != nil {
+	if ok, err := mustsFit(); err != nil {
 		return err
 	} else if !ok {
-		return fmt.Errorf("%w: the enlargement does not fit", ErrUnverified)
+		return fmt.Errorf("%w: the required calls exceed the enlarged capacity", ErrUnverified)
 	}
-	// Rounding up may have bought a circuit that another one makes needless.
-	for r := range m.res {
-		b, ok := bought[r]
+	// Rounding up may have added a circuit that another added circuit makes unnecessary.
+	for r := range m.resources {
+		b, ok := additions[r]
 		for ok && b.Circuits > 0 {
-			bigger.Groups[m.res[r].group].Circuits--
-			if fine, err := fit(); err != nil {
+			enlarged.Groups[m.resources[r].groupIndex].Circuits--
+			if fine, err := mustsFit(); err != nil {
 				return err
 			} else if !fine {
-				bigger.Groups[m.res[r].group].Circuits++
+				enlarged.Groups[m.resources[r].groupIndex].Circuits++
 				break
 			}
 			b.Circuits--
 		}
 		if ok {
-			bought[r] = b
+			additions[r] = b
 		}
 	}
-	for r := range m.res {
-		b, ok := bought[r]
+	for r := range m.resources {
+		b, ok := additions[r]
 		if !ok || b.Circuits == 0 && b.SetUps == 0 {
 			continue
 		}
-		b.Cost = m.priceOf(r) * (float64(b.Circuits) + b.SetUps)
+		b.Cost = m.unitCost(r) * (float64(b.Circuits) + b.SetUps)
 		e.Cost += b.Cost
 		e.Additions = append(e.Additions, b)
 	}
