--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"violetspan.example/violetspan/brain"
 	"violetspan.example/violetspan/decide/plan"
 	"violetspan.example/violetspan/decide/replan"
+	"violetspan.example/violetspan/routing"
 )
 
 // Settings of a Loop. A zero value means its default.
@@ -39,7 +39,7 @@
 type Loop struct {
 	set  Settings
 	log  *slog.Logger
-	tell func(e brain.Planned, until time.Time)
+	tell func(e routing.PlanUpdated, until time.Time)
 	from time.Time
 	done chan outcome // of the one solve on its way
 
@@ -67,7 +67,7 @@
 }
 
 // New makes a loop that tells the module of plans through tell.
-func New(set Settings, log *slog.Logger, tell func(e brain.Planned, until time.Time)) *Loop {
+func New(set Settings, log *slog.Logger, tell func(e routing.PlanUpdated, until time.Time)) *Loop {
 	if set.Deadline <= 0 {
 		set.Deadline = defaultDeadline
 	}
@@ -96,17 +96,17 @@
 	}
 	if here := ids[l.set.Here]; l.p == nil || here != l.here {
 		s := l.set.Replan
-		s.Here, l.here = here, here
+		s.OwnSwitch, l.here = here, here
 		version := uint64(time.Now().UnixNano()) // above those of a planner before
 		if l.p != nil {
-			l.tell(brain.Planned{Version: version}, time.Now())
+			l.tell(routing.PlanUpdated{Version: version}, time.Now())
 		}
 		l.p = replan.New(s, version)
 	}
 	if l.here == "" {
 		l.log.Warn("no switch of the inventory is the own exchange: a plan has nothing to say here", "exchange", l.set.Here)
 	}
-	l.act(l.p.Inventory(l.now(), &p))
+	l.act(l.p.SetInventory(l.now(), &p))
 	if l.set.File == "" {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	if left <= 0 {
 		return errors.New("the plan's time is over")
 	}
-	acts, err := l.p.Take(l.now(), f.Problem, f.Answer, f.Gap, left)
+	acts, err := l.p.Import(l.now(), f.Problem, f.Answer, f.Gap, left)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 		case o := <-l.done:
 			l.mu.Lock()
 			l.late = nil
-			l.act(l.p.Solved(l.now(), o.ticket, o.a, o.err))
+			l.act(l.p.HandleSolved(l.now(), o.ticket, o.a, o.err))
 			l.mu.Unlock()
 		case <-ctx.Done():
 			l.mu.Lock()
@@ -205,13 +205,13 @@
 			l.tell(l.event(a), until)
 			l.log.Info("plan in force", "version", a.Version, "worth", a.Answer.Worth, "bound", a.Answer.Bound, "gap", a.Answer.Gap, "until", until.UTC().Format(time.RFC3339))
 		case replan.Withdraw:
-			l.tell(brain.Planned{Version: a.Version}, time.Now())
+			l.tell(routing.PlanUpdated{Version: a.Version}, time.Now())
 			l.log.Info("plan withdrawn", "version", a.Version)
-		case replan.Note:
+		case replan.Log:
 			if a.Err != nil {
 				l.log.Warn(a.Text, "error", a.Err)
 			} else {
-				l.log.Info(a.Text, "old_worth", a.Old, "new_worth", a.New, "won", a.Won)
+				l.log.Info(a.Text, "old_worth", a.OldWorth, "new_worth", a.NewWorth, "won", a.Confirmations)
 			}
 		}
 	}
@@ -244,13 +244,13 @@
 
 // event is what the module is told of a plan: the weights of the own exchange's calls
 // and the worth of its groups' circuits.
-func (l *Loop) event(a replan.Publish) brain.Planned {
-	e := brain.Planned{Version: a.Version}
+func (l *Loop) event(a replan.Publish) routing.PlanUpdated {
+	e := routing.PlanUpdated{Version: a.Version}
 	for _, w := range a.Answer.TandemWeights(a.Problem) {
 		dest, ok := l.numbers[w.To]
 		tandem, ok2 := l.numbers[w.Tandem]
 		if w.From == l.here && ok && ok2 {
-			e.Weights = append(e.Weights, brain.Weight{Dest: dest, Tandem: tandem, Weight: w.Weight})
+			e.Weights = append(e.Weights, routing.Weight{Dest: dest, Tandem: tandem, Weight: w.Weight})
 		}
 	}
 	for _, g := range a.Answer.CircuitValues(a.Problem) {
@@ -261,7 +261,7 @@
 			continue
 		}
 		if n, ok := l.numbers[far]; ok {
-			e.Guards = append(e.Guards, brain.Guard{Toward: n, Value: g.Value})
+			e.Guards = append(e.Guards, routing.Guard{Toward: n, Value: g.Value})
 		}
 	}
 	return e
