--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
-// Command wirehost runs the decision module on the simulator's wire, on standard
-// input and output. With -policy it runs a plain decider in its place, for
-// comparisons: even and direct are those of the emulated mesh.
+// Command wirehost serves the simulator's text protocol on standard input and output with
+// the routing controller. The flag -policy selects a simple policy of package mesh instead,
+// for comparison: even or direct.
 package main
 
 import (
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,21 +10,21 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// params are the start-up settings by path; the first bad one is kept.
-type params struct {
-	f    *fields
-	vals map[string]string
-	err  error
+// launchParams holds the parameters of a LAUNCH line by key, and the first error in them.
+type launchParams struct {
+	fields *fieldReader
+	values map[string]string
+	err    error
 }
 
-func (p *params) fail(key, why string) {
+func (p *launchParams) fail(key, reason string) {
 	if p.err == nil {
-		p.err = p.f.bad("params "+key, why)
+		p.err = p.fields.invalid("params "+key, reason)
 	}
 }
 
-func (p *params) num(key string, def float64) float64 {
-	v, ok := p.vals[key]
+func (p *launchParams) number(key string, def float64) float64 {
+	v, ok := p.values[key]
 	if !ok || v == "-" || v == "" {
 		return def
 	}
@@ -36,69 +36,72 @@
 	return x
 }
 
-func (p *params) whole(key string, def int) int {
-	return int(max(math.MinInt32, min(math.MaxInt32, p.num(key, float64(def)))))
+func (p *launchParams) integer(key string, def int) int {
+	return int(max(math.MinInt32, min(math.MaxInt32, p.number(key, float64(def)))))
 }
 
-func (p *params) ms(key string) time.Duration { return fromMs(p.num(key, 0)) }
+func (p *launchParams) duration(key string) time.Duration { return fromMilliseconds(p.number(key, 0)) }
 
-func (p *params) yes(key string) bool { return p.vals[key] == "true" || p.vals[key] == "1" }
+func (p *launchParams) boolean(key string) bool {
+	return p.values[key] == "true" || p.values[key] == "1"
+}
 
-func (p *params) list(key string) []string {
-	v := p.vals[key]
+func (p *launchParams) list(key string) []string {
+	v := p.values[key]
 	if v == "" || v == "-" {
 		return nil
 	}
 	return strings.Split(v, ",")
 }
 
-// settings reads the pairs of a LAUNCH line; keys it does not know are skipped.
-func settings(f *fields, in *instance) (routing.Settings, error) {
-	p := &params{f: f, vals: map[string]string{}}
-	for _, pair := range strings.Fields(f.rest) {
+// readSettings reads the key=value pairs of a LAUNCH line; unknown keys are ignored. It also
+// sets the instance's classes and columns, and whether its refusals carry a time.
+func readSettings(fields *fieldReader, inst *instance) (routing.Settings, error) {
+	params := &launchParams{fields: fields, values: map[string]string{}}
+	for _, pair := range strings.Fields(fields.rest) {
 		key, val, ok := strings.Cut(pair, "=")
 		if !ok {
-			return routing.Settings{}, f.bad("params", fmt.Sprintf("%q is not a pair", pair))
+			return routing.Settings{}, fields.invalid("params", fmt.Sprintf("%q is not a pair", pair))
 		}
-		p.vals[key] = val
+		params.values[key] = val
 	}
-	s := routing.Settings{
-		OwnExchange:       p.whole("extra.here", -1),
-		FleetSize:         p.whole("fleetSize", 1),
-		PoolMode:          p.vals["extra.topology"] == "groups",
-		MaxAttempts:       p.whole("limits.mostTries", 1),
-		ReleaseDelay:      p.ms("extra.releaseMs"),
-		ResendInterval:    p.ms("extra.resendMs"),
-		WarmUpTime:        p.ms("rules.rampTimeMs"),
-		ColdCapacity:      p.num("rules.coldShare", 0),
-		OverloadFactor:    p.num("rules.fallMultiple", 1),
-		OverloadWindow:    p.ms("rules.overloadForMs"),
-		AnswerSlack:       p.ms("rules.answerSlackMs"),
-		CancelAllowed:     p.yes("limits.cancel"),
-		SubscribeRequired: p.vals["registryMode"] == "subscribe",
-		RedialsMarked:     p.yes("clients.marksRetry"),
+	settings := routing.Settings{
+		OwnExchange:       params.integer("extra.here", -1),
+		FleetSize:         params.integer("fleetSize", 1),
+		PoolMode:          params.values["extra.topology"] == "groups",
+		MaxAttempts:       params.integer("limits.mostTries", 1),
+		ReleaseDelay:      params.duration("extra.releaseMs"),
+		ResendInterval:    params.duration("extra.resendMs"),
+		WarmUpTime:        params.duration("rules.rampTimeMs"),
+		ColdCapacity:      params.number("rules.coldShare", 0),
+		OverloadFactor:    params.number("rules.fallMultiple", 1),
+		OverloadWindow:    params.duration("rules.overloadForMs"),
+		AnswerSlack:       params.duration("rules.answerSlackMs"),
+		CancelAllowed:     params.boolean("limits.cancel"),
+		SubscribeRequired: params.values["registryMode"] == "subscribe",
+		RedialsMarked:     params.boolean("clients.marksRetry"),
 	}
-	widths, holds := p.list("extra.widths"), p.list("extra.classHoldMs")
-	for i := range max(0, min(p.whole("classes.count", 0), 1000)) {
-		at := fmt.Sprintf("classes.%d.", i)
-		k := routing.Class{GoalTime: p.ms(at + "goalTimeMs"), Deadline: p.ms(at + "deadlineMs"),
-			Worth: p.num(at+"worth", 1), Width: 1}
+	widths, holds := params.list("extra.widths"), params.list("extra.classHoldMs")
+	for i := range max(0, min(params.integer("classes.count", 0), 1000)) {
+		prefix := fmt.Sprintf("classes.%d.", i)
+		class := routing.Class{GoalTime: params.duration(prefix + "goalTimeMs"), Deadline: params.duration(prefix + "deadlineMs"),
+			Worth: params.number(prefix+"worth", 1), Width: 1}
 		if i < len(widths) {
-			p.vals[at+"width"] = widths[i]
-			k.Width = p.whole(at+"width", 1)
+			params.values[prefix+"width"] = widths[i]
+			class.Width = params.integer(prefix+"width", 1)
 		}
 		if i < len(holds) {
-			p.vals[at+"hold"] = holds[i]
-			k.Hold = p.ms(at + "hold")
+			params.values[prefix+"hold"] = holds[i]
+			class.Hold = params.duration(prefix + "hold")
 		}
-		for _, n := range p.list(fmt.Sprintf("extra.skilledPools.%d", i)) {
-			p.vals[at+"pool"] = n
-			k.Pools = append(k.Pools, p.whole(at+"pool", 0))
+		for _, pool := range params.list(fmt.Sprintf("extra.skilledPools.%d", i)) {
+			params.values[prefix+"pool"] = pool
+			class.Pools = append(class.Pools, params.integer(prefix+"pool", 0))
 		}
-		in.classes[p.vals[at+"name"]] = i
-		s.Classes = append(s.Classes, k)
+		inst.classes[params.values[prefix+"name"]] = i
+		settings.Classes = append(settings.Classes, class)
 	}
-	in.advise = p.yes("limits.retryAfter")
-	in.columns = p.list("report.columns")
-	return s, p.err
+	inst.sendRetryAfter = params.boolean("limits.retryAfter")
+	inst.columns = params.list("report.columns")
+	return settings, params.err
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire carries controllers over the bench's text wire: it reads
-// batches of events, hands each to its instance and writes the replies. It
-// translates and decides nothing.
+// Package wire implements the simulator's text protocol for routing policies: it reads
+// batches of events, passes each event to its instance and writes the resulting actions. It
+// only translates between the protocol and package routing.
 package wire
 
 import (
@@ -17,106 +17,109 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// instance is one hosted controller and what only the wire knows of it.
+// instance is one hosted policy and its settings for the protocol.
 type instance struct {
-	name    string
-	d       routing.Policy
-	columns []string
-	advise  bool // callers hear when to dial again
-	classes map[string]int
+	name           string
+	policy         routing.Policy
+	columns        []string       // names of the values in a load report
+	sendRetryAfter bool           // refusals carry the time of the next redial
+	classes        map[string]int // index in Settings.Classes by class name
 }
 
-// host is one run of the wire.
+// host serves all instances of one input stream.
 type host struct {
-	in    *bufio.Reader
-	out   *bufio.Writer
-	errs  io.Writer
-	make  routing.Factory
-	line  int // number of the line being read
-	now   time.Duration
-	insts map[string]*instance
-	lists [16][]routing.ListEntry
-	reply []byte
-	field fields
-	long  []byte
-}
-
-// fields walks the space-separated values of one line.
-type fields struct {
-	msg  string
-	rest string
-	line int
-}
-
-// fault is a line that can't be read.
-type fault struct {
-	line       int
-	field, why string
-}
-
-func (f fault) Error() string { return fmt.Sprintf("line %d: field %s: %s", f.line, f.field, f.why) }
-
-// Serve hosts instances on the wire until the input ends. An error names the
-// line and field that could not be read; nothing is written for its batch.
-func Serve(in io.Reader, out, errs io.Writer, mk routing.Factory) error {
-	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), errs: errs, make: mk,
-		insts: map[string]*instance{}}
+	in          *bufio.Reader
+	out         *bufio.Writer
+	diagnostics io.Writer
+	factory     routing.Factory
+	lineNumber  int // of the current line, from 1
+	now         time.Duration
+	instances   map[string]*instance
+	lists       [16][]routing.ListEntry // by slot
+	reply       []byte                  // to the current batch
+	current     fieldReader             // of the current line
+	lineBuffer  []byte
+}
+
+// fieldReader reads the space-separated fields of one line in order.
+type fieldReader struct {
+	message    string
+	rest       string
+	lineNumber int
+}
+
+// inputError names a line and field of the input that is invalid.
+type inputError struct {
+	lineNumber    int
+	field, reason string
+}
+
+func (f inputError) Error() string {
+	return fmt.Sprintf("line %d: field %s: %s", f.lineNumber, f.field, f.reason)
+}
+
+// Serve hosts the policies that factory creates until the input ends. Stack traces of
+// panics are written to diagnostics. An error names the line and field that is invalid;
+// nothing is written for its batch.
+func Serve(in io.Reader, out, diagnostics io.Writer, factory routing.Factory) error {
+	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
+		diagnostics: diagnostics, factory: factory, instances: map[string]*instance{}}
 	for {
-		done, err := h.batch()
+		done, err := h.serveBatch()
 		if err != nil || done {
 			return err
 		}
 	}
 }
 
-// next reads one line without its end.
-func (h *host) next() (string, error) {
-	h.long = h.long[:0]
+// readLine returns the next line without its line break. A last line without one counts too.
+func (h *host) readLine() (string, error) {
+	h.lineBuffer = h.lineBuffer[:0]
 	for {
 		part, err := h.in.ReadSlice('\n')
-		h.long = append(h.long, part...)
+		h.lineBuffer = append(h.lineBuffer, part...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err != nil && (len(h.long) == 0 || !errors.Is(err, io.EOF)) {
+		if err != nil && (len(h.lineBuffer) == 0 || !errors.Is(err, io.EOF)) {
 			return "", err
 		}
 		break
 	}
-	h.line++
-	return strings.TrimRight(string(h.long), "\r\n"), nil
+	h.lineNumber++
+	return strings.TrimRight(string(h.lineBuffer), "\r\n"), nil
 }
 
-// batch serves one batch; done tells that the input has ended.
-func (h *host) batch() (done bool, err error) {
-	line, err := h.next()
+// serveBatch processes one batch and writes its reply; done reports the end of the input.
+func (h *host) serveBatch() (done bool, err error) {
+	line, err := h.readLine()
 	if errors.Is(err, io.EOF) {
 		return true, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	f := h.begin(line)
-	if f.msg != "SYNC" {
-		return false, f.bad("message", fmt.Sprintf("SYNC expected, got %q", f.msg))
+	fields := h.parseLine(line)
+	if fields.message != "SYNC" {
+		return false, fields.invalid("message", fmt.Sprintf("SYNC expected, got %q", fields.message))
 	}
-	if h.now, err = f.ms("clock"); err != nil {
+	if h.now, err = fields.duration("clock"); err != nil {
 		return false, err
 	}
 	h.reply = h.reply[:0]
 	for {
-		line, err := h.next()
+		line, err := h.readLine()
 		if errors.Is(err, io.EOF) {
-			return false, fault{h.line + 1, "message", "the input ends inside a batch"}
+			return false, inputError{h.lineNumber + 1, "message", "the input ends inside a batch"}
 		}
 		if err != nil {
 			return false, err
 		}
-		f := h.begin(line)
-		if f.msg == "FLUSH" {
+		fields := h.parseLine(line)
+		if fields.message == "FLUSH" {
 			break
 		}
-		if err := h.event(f); err != nil {
+		if err := h.handleEvent(fields); err != nil {
 			return false, err
 		}
 	}
@@ -127,29 +130,31 @@
 	return false, h.out.Flush()
 }
 
-func (h *host) begin(line string) *fields {
-	h.field = fields{line: h.line}
-	h.field.msg, h.field.rest, _ = strings.Cut(line, " ")
-	return &h.field
+func (h *host) parseLine(line string) *fieldReader {
+	h.current = fieldReader{lineNumber: h.lineNumber}
+	h.current.message, h.current.rest, _ = strings.Cut(line, " ")
+	return &h.current
 }
 
-func (f *fields) bad(field, why string) error { return fault{f.line, field, why} }
+func (f *fieldReader) invalid(field, reason string) error {
+	return inputError{f.lineNumber, field, reason}
+}
 
-// word takes the next value; absent is "-".
-func (f *fields) word(field string) (string, error) {
+// word reads a required field; an absent value is "-".
+func (f *fieldReader) word(field string) (string, error) {
 	if f.rest == "" {
-		return "", f.bad(field, "missing")
+		return "", f.invalid(field, "missing")
 	}
 	var v string
 	v, f.rest, _ = strings.Cut(f.rest, " ")
 	if v == "" {
-		return "", f.bad(field, "missing")
+		return "", f.invalid(field, "missing")
 	}
 	return v, nil
 }
 
-// opt takes a value that may be left out.
-func (f *fields) opt(field string) (string, error) {
+// optional reads a field that may be missing or "-", and returns "" then.
+func (f *fieldReader) optional(field string) (string, error) {
 	if f.rest == "" {
 		return "", nil
 	}
@@ -160,40 +165,41 @@
 	return v, err
 }
 
-// num takes a number, or def where it is absent.
-func (f *fields) num(field string, def float64) (float64, error) {
-	v, err := f.opt(field)
+// number reads a number, or returns def if it is absent.
+func (f *fieldReader) number(field string, def float64) (float64, error) {
+	v, err := f.optional(field)
 	if err != nil || v == "" {
 		return def, err
 	}
 	x, perr := strconv.ParseFloat(v, 64)
 	if perr != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, f.bad(field, fmt.Sprintf("%q is not a number", v))
+		return 0, f.invalid(field, fmt.Sprintf("%q is not a number", v))
 	}
 	return x, nil
 }
 
-func (f *fields) whole(field string, def int) (int, error) {
-	x, err := f.num(field, float64(def))
+// integer reads a whole number, limited to 32 bits, or returns def if it is absent.
+func (f *fieldReader) integer(field string, def int) (int, error) {
+	x, err := f.number(field, float64(def))
 	if err == nil && x != math.Trunc(x) {
-		return 0, f.bad(field, fmt.Sprintf("%v is not a whole number", x))
+		return 0, f.invalid(field, fmt.Sprintf("%v is not a whole number", x))
 	}
 	return int(max(math.MinInt32, min(math.MaxInt32, x))), err
 }
 
-// ms takes a required time.
-func (f *fields) ms(field string) (time.Duration, error) {
-	x, err := f.num(field, math.NaN())
+// duration reads a required time in milliseconds.
+func (f *fieldReader) duration(field string) (time.Duration, error) {
+	x, err := f.number(field, math.NaN())
 	if err == nil && math.IsNaN(x) {
-		return 0, f.bad(field, "missing")
+		return 0, f.invalid(field, "missing")
 	}
-	return fromMs(x), err
+	return fromMilliseconds(x), err
 }
 
-const longest = 1e12 // milliseconds: longer times are cut to it
+const maxMilliseconds = 1e12 // longer times are limited to this, so that they fit a time.Duration
 
-func fromMs(x float64) time.Duration {
-	return time.Duration(math.Round(max(-longest, min(longest, x))*1000)) * time.Microsecond
+func fromMilliseconds(x float64) time.Duration {
+	return time.Duration(math.Round(max(-maxMilliseconds, min(maxMilliseconds, x))*1000)) * time.Microsecond
 }
 
 var results = map[string]routing.Result{
@@ -203,161 +209,163 @@
 
 var states = map[string]routing.State{"U": routing.Ready, "L": routing.Draining, "D": routing.Removed}
 
-// pick takes a word that must be one of a table's keys.
-func pick[T any](f *fields, field string, table map[string]T) (v T, err error) {
-	w, err := f.word(field)
+// lookup reads a required field that must be a key of the table and returns its value.
+func lookup[T any](fields *fieldReader, field string, table map[string]T) (value T, err error) {
+	key, err := fields.word(field)
 	if err != nil {
-		return v, err
+		return value, err
 	}
-	v, ok := table[w]
+	value, ok := table[key]
 	if !ok {
-		return v, f.bad(field, fmt.Sprintf("%q is not known here", w))
+		return value, fields.invalid(field, fmt.Sprintf("%q is not known", key))
 	}
-	return v, nil
+	return value, nil
 }
 
-// event reads one event line and lets its instance act.
-func (h *host) event(f *fields) error {
-	if f.msg == "LIST" {
-		return h.list(f)
+// handleEvent reads one message and, if it is an event, passes it to its instance.
+func (h *host) handleEvent(fields *fieldReader) error {
+	if fields.message == "LIST" {
+		return h.readList(fields)
 	}
-	read, ok := readers[f.msg]
-	if !ok && f.msg != "LAUNCH" && f.msg != "KILLED" {
-		return f.bad("message", fmt.Sprintf("%q is not known", f.msg))
+	read, ok := eventReaders[fields.message]
+	if !ok && fields.message != "LAUNCH" && fields.message != "KILLED" {
+		return fields.invalid("message", fmt.Sprintf("%q is not known", fields.message))
 	}
-	who, err := f.word("who")
+	who, err := fields.word("who")
 	if err != nil {
 		return err
 	}
-	if f.msg == "LAUNCH" {
-		return h.launch(f, who)
+	if fields.message == "LAUNCH" {
+		return h.launch(fields, who)
 	}
-	in := h.insts[who]
-	if in == nil {
-		return f.bad("who", fmt.Sprintf("instance %q was not started", who))
+	inst := h.instances[who]
+	if inst == nil {
+		return fields.invalid("who", fmt.Sprintf("instance %q was not started", who))
 	}
-	if f.msg == "KILLED" {
-		delete(h.insts, who)
+	if fields.message == "KILLED" {
+		delete(h.instances, who)
 		return nil
 	}
-	ev, err := read(h, in, f)
+	ev, err := read(h, inst, fields)
 	if err != nil || ev == nil {
 		return err
 	}
-	h.run(in, ev)
+	h.apply(inst, ev)
 	return nil
 }
 
-// run lets an instance act on an event; a panic is reported as a broken module.
-func (h *host) run(in *instance, ev routing.Event) {
+// apply passes an event to an instance and writes its actions. A panic of the policy is
+// reported to the simulator.
+func (h *host) apply(inst *instance, ev routing.Event) {
 	defer func() {
 		if r := recover(); r != nil {
-			fmt.Fprintf(h.errs, "%s: %v\n%s", in.name, r, debug.Stack())
-			h.text("GIVE_IN", in, fmt.Sprint("panic: ", r))
+			fmt.Fprintf(h.diagnostics, "%s: %v\n%s", inst.name, r, debug.Stack())
+			h.writeText("GIVE_IN", inst, fmt.Sprint("panic: ", r))
 		}
 	}()
-	for _, a := range in.d.Handle(h.now, ev) {
-		h.write(in, a)
+	for _, a := range inst.policy.Handle(h.now, ev) {
+		h.writeAction(inst, a)
 	}
 }
 
-func (h *host) launch(f *fields, who string) error {
-	w, err := f.word("initSeed")
+// launch starts an instance, in place of one with the same name.
+func (h *host) launch(fields *fieldReader, who string) error {
+	value, err := fields.word("initSeed")
 	if err != nil {
 		return err
 	}
-	seed, perr := strconv.ParseUint(w, 10, 64)
+	seed, perr := strconv.ParseUint(value, 10, 64)
 	if perr != nil {
-		return f.bad("initSeed", fmt.Sprintf("%q is not a whole number", w))
+		return fields.invalid("initSeed", fmt.Sprintf("%q is not a whole number", value))
 	}
-	in := &instance{name: who, classes: map[string]int{}}
-	s, err := settings(f, in)
+	inst := &instance{name: who, classes: map[string]int{}}
+	settings, err := readSettings(fields, inst)
 	if err != nil {
 		return err
 	}
-	if in.d, err = h.make(s, seed); err != nil {
-		return f.bad("params", err.Error())
+	if inst.policy, err = h.factory(settings, seed); err != nil {
+		return fields.invalid("params", err.Error())
 	}
-	h.insts[who] = in
+	h.instances[who] = inst
 	return nil
 }
 
-// list reads a numbered list and its entries.
-func (h *host) list(f *fields) error {
-	slot, err := f.whole("slot", -1)
+// readList reads a numbered list and its entries.
+func (h *host) readList(fields *fieldReader) error {
+	slot, err := fields.integer("slot", -1)
 	if err != nil {
 		return err
 	}
 	if slot < 0 || slot >= len(h.lists) {
-		return f.bad("slot", "a number from 0 to 15 is wanted")
+		return fields.invalid("slot", "must be a number from 0 to 15")
 	}
-	n, err := f.whole("hosts", -1)
+	count, err := fields.integer("hosts", -1)
 	if err != nil {
 		return err
 	}
-	if n < 0 {
-		return f.bad("hosts", "a count is wanted")
+	if count < 0 {
+		return fields.invalid("hosts", "must be a count")
 	}
-	var entries []routing.ListEntry // not reused: instances may hold on to the old ones
-	for range n {
-		line, err := h.next()
+	var entries []routing.ListEntry // a new slice: instances may keep the old one
+	for range count {
+		line, err := h.readLine()
 		if err != nil {
-			return fault{h.line + 1, "hosts", "the list ends early"}
+			return inputError{h.lineNumber + 1, "hosts", "the list ends early"}
 		}
-		g := h.begin(line)
-		if g.msg != "ITEM" {
-			return g.bad("message", fmt.Sprintf("ITEM expected, got %q", g.msg))
+		item := h.parseLine(line)
+		if item.message != "ITEM" {
+			return item.invalid("message", fmt.Sprintf("ITEM expected, got %q", item.message))
 		}
-		e, err := entry(g)
+		entry, err := readEntry(item)
 		if err != nil {
 			return err
 		}
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
 	h.lists[slot] = entries
 	return nil
 }
 
-func entry(f *fields) (e routing.ListEntry, err error) {
-	if e.Host, err = f.word("switch"); err != nil {
+func readEntry(fields *fieldReader) (e routing.ListEntry, err error) {
+	if e.Host, err = fields.word("switch"); err != nil {
 		return e, err
 	}
-	if _, err = f.num("nominal", 1); err != nil {
+	if _, err = fields.number("nominal", 1); err != nil {
 		return e, err
 	}
-	if _, err = f.opt("area"); err != nil {
+	if _, err = fields.optional("area"); err != nil {
 		return e, err
 	}
-	started, err := f.num("lastStartMs", 0)
+	started, err := fields.number("lastStartMs", 0)
 	if err != nil {
 		return e, err
 	}
-	e.Started = fromMs(started)
-	if e.State, err = pick(f, "state", states); err != nil {
+	e.Started = fromMilliseconds(started)
+	if e.State, err = lookup(fields, "state", states); err != nil {
 		return e, err
 	}
-	e.Exchange, err = f.whole("nodeNo", 0)
+	e.Exchange, err = fields.integer("nodeNo", 0)
 	return e, err
 }
 
-// readers reads each kind of event that goes to an instance.
-var readers = map[string]func(*host, *instance, *fields) (routing.Event, error){
-	"DISCOVERY": readListed,
+// eventReaders has the parser of each event message; nil is returned for one that is ignored.
+var eventReaders = map[string]func(*host, *instance, *fieldReader) (routing.Event, error){
+	"DISCOVERY": readListUpdated,
 	"JOB_IN":    readOffered,
-	"STARTED":   readStood,
-	"SETTLED":   readSettled,
+	"STARTED":   readEstablished,
+	"SETTLED":   readAttemptEnded,
 	"WITHDRAWN": readWithdrawn,
-	"SAMPLED":   readProbed,
-	"BELL":      readWoken,
-	"PEER_DATA": func(*host, *instance, *fields) (routing.Event, error) { return nil, nil },
+	"SAMPLED":   readReported,
+	"BELL":      readTimerFired,
+	"PEER_DATA": func(*host, *instance, *fieldReader) (routing.Event, error) { return nil, nil },
 }
 
-func readListed(h *host, _ *instance, f *fields) (routing.Event, error) {
-	slot, err := f.whole("slot", -1)
+func readListUpdated(h *host, _ *instance, fields *fieldReader) (routing.Event, error) {
+	slot, err := fields.integer("slot", -1)
 	if err != nil {
 		return nil, err
 	}
-	mode, err := f.word("mode")
+	mode, err := fields.word("mode")
 	if err != nil {
 		return nil, err
 	}
@@ -365,112 +373,113 @@
 		return routing.ListUpdated{Failed: true}, nil
 	}
 	if mode != "Partial" && mode != "Complete" && mode != "Persisted" {
-		return nil, f.bad("mode", fmt.Sprintf("%q is not known here", mode))
+		return nil, fields.invalid("mode", fmt.Sprintf("%q is not known", mode))
 	}
 	if slot < 0 || slot >= len(h.lists) {
-		return nil, f.bad("slot", "a number from 0 to 15 is wanted")
+		return nil, fields.invalid("slot", "must be a number from 0 to 15")
 	}
 	return routing.ListUpdated{Complete: mode != "Partial", Entries: h.lists[slot]}, nil
 }
 
+// Bits of an offered call's marks.
 const (
-	markRedial  = 2
-	markTransit = 8
-	markCut     = 16
+	markRedial   = 2
+	markTransit  = 8
+	markAfterCut = 16
 )
 
-func readOffered(_ *host, in *instance, f *fields) (routing.Event, error) {
+func readOffered(_ *host, inst *instance, fields *fieldReader) (routing.Event, error) {
 	var e routing.Offered
 	var err error
-	if e.Call, err = f.word("job"); err != nil {
+	if e.Call, err = fields.word("job"); err != nil {
 		return nil, err
 	}
-	if e.Class, err = pick(f, "category", in.classes); err != nil {
+	if e.Class, err = lookup(fields, "category", inst.classes); err != nil {
 		return nil, err
 	}
-	if _, err = f.opt("billing"); err != nil {
+	if _, err = fields.optional("billing"); err != nil {
 		return nil, err
 	}
-	if e.Number, err = f.opt("partitionKey"); err != nil {
+	if e.Number, err = fields.optional("partitionKey"); err != nil {
 		return nil, err
 	}
-	if e.Expires, err = f.ms("expiresMs"); err != nil {
+	if e.Expires, err = fields.duration("expiresMs"); err != nil {
 		return nil, err
 	}
-	if _, err = f.num("workHintMs", 0); err != nil {
+	if _, err = fields.number("workHintMs", 0); err != nil {
 		return nil, err
 	}
-	if e.Dest, err = f.whole("toExchange", -1); err != nil {
+	if e.Dest, err = fields.integer("toExchange", -1); err != nil {
 		return nil, err
 	}
-	if e.Width, err = f.whole("circuits", 1); err != nil {
+	if e.Width, err = fields.integer("circuits", 1); err != nil {
 		return nil, err
 	}
-	if _, err = f.whole("via", -1); err != nil {
+	if _, err = fields.integer("via", -1); err != nil {
 		return nil, err
 	}
-	marks, err := f.whole("marks", 0)
+	marks, err := fields.integer("marks", 0)
 	if err != nil {
 		return nil, err
 	}
-	e.Redial, e.Transit, e.AfterCut = marks&markRedial != 0, marks&markTransit != 0, marks&markCut != 0
+	e.Redial, e.Transit, e.AfterCut = marks&markRedial != 0, marks&markTransit != 0, marks&markAfterCut != 0
 	return e, nil
 }
 
-func readStood(_ *host, _ *instance, f *fields) (routing.Event, error) {
+func readEstablished(_ *host, _ *instance, fields *fieldReader) (routing.Event, error) {
 	var e routing.Established
 	var err error
-	if e.Call, err = f.word("job"); err != nil {
+	if e.Call, err = fields.word("job"); err != nil {
 		return nil, err
 	}
-	if e.Attempt, err = f.whole("shot", 0); err != nil {
+	if e.Attempt, err = fields.integer("shot", 0); err != nil {
 		return nil, err
 	}
-	if _, err = f.word("switch"); err != nil {
+	if _, err = fields.word("switch"); err != nil {
 		return nil, err
 	}
-	d, err := f.num("delaySeenMs", 0)
-	e.Delay = fromMs(d)
+	delay, err := fields.number("delaySeenMs", 0)
+	e.Delay = fromMilliseconds(delay)
 	return e, err
 }
 
-func readSettled(_ *host, in *instance, f *fields) (routing.Event, error) {
+func readAttemptEnded(_ *host, inst *instance, fields *fieldReader) (routing.Event, error) {
 	var e routing.AttemptEnded
 	var err error
-	if e.Call, err = f.word("job"); err != nil {
+	if e.Call, err = fields.word("job"); err != nil {
 		return nil, err
 	}
-	d, err := f.num("delaySeenMs", 0)
+	delay, err := fields.number("delaySeenMs", 0)
 	if err != nil {
 		return nil, err
 	}
-	e.Delay = fromMs(d)
-	if e.Result, err = pick(f, "reason", results); err != nil {
+	e.Delay = fromMilliseconds(delay)
+	if e.Result, err = lookup(fields, "reason", results); err != nil {
 		return nil, err
 	}
-	over, err := f.opt("over")
+	callEnded, err := fields.optional("over")
 	if err != nil {
 		return nil, err
 	}
-	e.CallEnded = over == "1"
-	if e.Host, err = f.opt("switch"); err != nil {
+	e.CallEnded = callEnded == "1"
+	if e.Host, err = fields.optional("switch"); err != nil {
 		return nil, err
 	}
-	code, err := f.whole("clearCode", 0)
+	code, err := fields.integer("clearCode", 0)
 	if err != nil {
 		return nil, err
 	}
-	e.Cause, e.RetryAfter = cause(code)
-	if e.Attempt, err = f.whole("shot", 0); err != nil {
+	e.Cause, e.RetryAfter = decodeCause(code)
+	if e.Attempt, err = fields.integer("shot", 0); err != nil {
 		return nil, err
 	}
-	e.Report, err = report(f, in.columns)
+	e.Report, err = readReport(fields, inst.columns)
 	return e, err
 }
 
-// cause splits a clear code: its low four bits are the cause, and the rest a
-// wait in milliseconds, or for a call turned back, why.
-func cause(code int) (routing.Cause, time.Duration) {
+// decodeCause decodes a clear code. Its low four bits are the cause. The other bits are a
+// wait in milliseconds, or, for a call that was turned back, a reason.
+func decodeCause(code int) (routing.Cause, time.Duration) {
 	extra := max(code, 0) >> 4
 	switch code & 15 {
 	case 1:
@@ -488,40 +497,40 @@
 	return routing.CauseNone, 0
 }
 
-func readWithdrawn(_ *host, _ *instance, f *fields) (routing.Event, error) {
-	id, err := f.word("job")
+func readWithdrawn(_ *host, _ *instance, fields *fieldReader) (routing.Event, error) {
+	id, err := fields.word("job")
 	return routing.Withdrawn{Call: id}, err
 }
 
-func readProbed(_ *host, in *instance, f *fields) (routing.Event, error) {
+func readReported(_ *host, inst *instance, fields *fieldReader) (routing.Event, error) {
 	var e routing.Reported
 	var err error
-	if e.Host, err = f.word("switch"); err != nil {
+	if e.Host, err = fields.word("switch"); err != nil {
 		return nil, err
 	}
-	if _, err := pick(f, "reason", results); err != nil {
+	if _, err := lookup(fields, "reason", results); err != nil {
 		return nil, err
 	}
-	if _, err := f.num("delaySeenMs", 0); err != nil {
+	if _, err := fields.number("delaySeenMs", 0); err != nil {
 		return nil, err
 	}
-	if e.Report, err = report(f, in.columns); err != nil {
+	if e.Report, err = readReport(fields, inst.columns); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-func readWoken(_ *host, _ *instance, f *fields) (routing.Event, error) {
-	_, err := f.word("token")
+func readTimerFired(_ *host, _ *instance, fields *fieldReader) (routing.Event, error) {
+	_, err := fields.word("token")
 	return routing.TimerFired{}, err
 }
 
-// report reads the values of a load report, in the order of the columns.
-func report(f *fields, columns []string) (routing.Report, error) {
-	r := routing.NoReport
-	row, err := f.opt("feedback")
+// readReport reads the values of a load report, in the order of the columns.
+func readReport(fields *fieldReader, columns []string) (routing.Report, error) {
+	rep := routing.NoReport
+	row, err := fields.optional("feedback")
 	if err != nil || row == "" {
-		return r, err
+		return rep, err
 	}
 	for i := 0; row != "" && i < len(columns); i++ {
 		var v string
@@ -529,17 +538,18 @@
 		if v == "" || v == "-" {
 			continue
 		}
-		if err := r.Set(columns[i], v); err != nil {
-			return r, f.bad("feedback", err.Error())
+		if err := rep.Set(columns[i], v); err != nil {
+			return rep, fields.invalid("feedback", err.Error())
 		}
 	}
-	return r, nil
+	return rep, nil
 }
 
-// text writes an action whose one value runs to the line's end.
-func (h *host) text(msg string, in *instance, s string) {
-	h.open(msg, in)
-	h.put(strings.Map(func(r rune) rune {
+// writeText writes an action whose only value extends to the end of the line; line breaks in it
+// become spaces.
+func (h *host) writeText(msg string, inst *instance, s string) {
+	h.beginAction(msg, inst)
+	h.putString(strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' {
 			return ' '
 		}
@@ -548,53 +558,53 @@
 	h.reply = append(h.reply, '\n')
 }
 
-func (h *host) open(msg string, in *instance) {
+func (h *host) beginAction(msg string, inst *instance) {
 	h.reply = append(h.reply, msg...)
-	h.put(in.name)
+	h.putString(inst.name)
 }
 
-func (h *host) put(s string) {
+func (h *host) putString(s string) {
 	h.reply = append(h.reply, ' ')
 	h.reply = append(h.reply, s...)
 }
 
-func (h *host) putMs(d time.Duration) {
+func (h *host) putDuration(d time.Duration) {
 	h.reply = append(h.reply, ' ')
 	h.reply = strconv.AppendFloat(h.reply, float64(d.Microseconds())/1000, 'f', -1, 64)
 }
 
-// write puts one action on the wire.
-func (h *host) write(in *instance, a routing.Action) {
+// writeAction appends one action to the reply.
+func (h *host) writeAction(inst *instance, a routing.Action) {
 	switch a := a.(type) {
 	case routing.Send:
-		h.open("DISPATCH", in)
-		h.put(a.Call)
-		h.put(a.Host)
-		h.putMs(a.Timeout)
+		h.beginAction("DISPATCH", inst)
+		h.putString(a.Call)
+		h.putString(a.Host)
+		h.putDuration(a.Timeout)
 	case routing.Refuse:
-		h.open("NOT_NOW", in)
-		h.put(a.Call)
-		if in.advise {
-			h.putMs(a.RetryAfter)
+		h.beginAction("NOT_NOW", inst)
+		h.putString(a.Call)
+		if inst.sendRetryAfter {
+			h.putDuration(a.RetryAfter)
 		} else {
-			h.put("0") // no advice on when to dial again
+			h.putString("0")
 		}
 	case routing.Fail:
-		h.open("ABORT", in)
-		h.put(a.Call)
+		h.beginAction("ABORT", inst)
+		h.putString(a.Call)
 	case routing.Cancel:
-		h.open("RECALL", in)
-		h.put(a.Call)
-		h.put(strconv.Itoa(a.Attempt))
+		h.beginAction("RECALL", inst)
+		h.putString(a.Call)
+		h.putString(strconv.Itoa(a.Attempt))
 	case routing.SetTimer:
-		h.open("SCHEDULE", in)
-		h.put("1")
-		h.putMs(a.After)
+		h.beginAction("SCHEDULE", inst)
+		h.putString("1")
+		h.putDuration(a.After)
 	case routing.Subscribe:
-		h.open("WATCH", in)
-		h.put("1")
+		h.beginAction("WATCH", inst)
+		h.putString("1")
 	case routing.Log:
-		h.text("NOTE_DOWN", in, a.Text)
+		h.writeText("NOTE_DOWN", inst, a.Text)
 		return
 	default:
 		return
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -7,123 +7,123 @@
 	"time"
 )
 
-// Settings is what a controller is told once, at its start. Zero values are
-// legal wherever a deployment has no such fact.
+// Settings are the constant settings of a controller. A zero value is valid except
+// where New returns an error for it.
 type Settings struct {
-	OwnExchange int  // number of the own exchange; -1 where the controller fronts pools
-	FleetSize   int  // how many controllers the network has, this one included
-	PoolMode    bool // servers are pools of agents: no own exchange, no transit
-	Classes     []Class
+	OwnExchange int     // number of the controller's exchange; -1 in pool mode
+	FleetSize   int     // number of controllers in the network, this one included
+	PoolMode    bool    // servers are pools of agents: there is no own exchange and no transit
+	Classes     []Class // at least one
 
-	MaxAttempts       int           // sends a call may have in all
-	ReleaseDelay      time.Duration // rest after a time-out, reset or cancel before the next send
+	MaxAttempts       int           // sends per call, at least 1
+	ReleaseDelay      time.Duration // wait after a time-out, reset or cancel before the next send
 	ResendInterval    time.Duration // a waiting set-up is repeated after this; 0: never
 	WarmUpTime        time.Duration // a started processor is warm after this at the latest
-	ColdCapacity      float64       // share of its capacity that it starts with, at least
-	OverloadFactor    float64       // a cold processor falls over above this multiple of its capacity
-	OverloadWindow    time.Duration // ... held for this long
-	AnswerSlack       time.Duration // a final answer still counts this long after a call's time is up
+	ColdCapacity      float64       // share of its capacity that a started processor has, at least
+	OverloadFactor    float64       // multiple of its capacity above which a cold processor breaks down ...
+	OverloadWindow    time.Duration // ... if the load lasts for this long
+	AnswerSlack       time.Duration // a final answer still counts this long after a call's expiry
 	CancelAllowed     bool          // Cancel may be used
-	SubscribeRequired bool          // list changes come only after Subscribe
-	RedialsMarked     bool          // callers mark their further tries (Offered.Redial)
+	SubscribeRequired bool          // changes of the list are sent after Subscribe only
+	RedialsMarked     bool          // callers mark their redials (Offered.Redial)
 }
 
-// Class is one class of call. A call names its class by its place in
-// Settings.Classes.
+// Class is one class of call. Calls refer to a class by its index in Settings.Classes.
 type Class struct {
-	GoalTime time.Duration // a call that stands within this earns its full worth
-	Deadline time.Duration // callers go on trying for this long
-	Hold     time.Duration // mean length of a call
-	Worth    float64
-	Width    int   // circuits on each trunk group
-	Pools    []int // with Settings.Pools: the pools that serve the class
+	GoalTime time.Duration // a call established within this time earns its full worth
+	Deadline time.Duration // callers redial for this long
+	Hold     time.Duration // mean duration of a call
+	Worth    float64       // value of a call, relative to other classes
+	Width    int           // circuits on each trunk group
+	Pools    []int         // in pool mode: the pools that serve the class
 }
 
-// An Event is something that the controller is told. See the types below.
+// Event is an input of a Policy: one of the types below.
 type Event interface{ isEvent() }
 
-// Offered brings a call that the controller now owes one final answer.
+// Offered reports a new call, which needs exactly one final answer.
 type Offered struct {
-	Call     string
-	Class    int
-	Number   string // the number called
-	Dest     int    // the exchange (or pool of first choice) it is for
-	Width    int
+	Call     string        // id of the call
+	Class    int           // index in Settings.Classes
+	Number   string        // called number; "": unknown
+	Dest     int           // destination exchange, or the pool of first choice
+	Width    int           // circuits on each trunk group
 	Expires  time.Duration // clock time at which the caller gives this try up
-	Transit  bool          // passed on by another controller: only its last leg is open
-	Redial   bool          // the caller marked it as a further try
-	AfterCut bool          // it stood before, was cut, and comes again
+	Transit  bool          // passed on by another controller: only the last leg is left to set up
+	Redial   bool          // the caller marked it as a redial
+	AfterCut bool          // it was established, was cut off, and is offered again
 }
 
-// Established tells that an attempt is through: nothing is owed for its call.
+// Established reports that an attempt was answered. Its call needs no final answer any more.
 type Established struct {
 	Call    string
-	Attempt int
+	Attempt int           // index of the call's Send, from 0
 	Delay   time.Duration // since the send
 }
 
-// AttemptEnded tells how an attempt ended; each Send gets exactly one.
+// AttemptEnded reports how an attempt ended; there is exactly one for each Send.
 type AttemptEnded struct {
 	Call       string
-	Attempt    int
+	Attempt    int // index of the call's Send, from 0
 	Host       string
 	Result     Result
 	Cause      Cause
-	RetryAfter time.Duration // with CauseProcessor: the wait that the far end names; 0 if none
-	CallEnded  bool          // no final answer is owed any more
+	RetryAfter time.Duration // with CauseProcessorFull: the wait that the processor asks for; 0: none
+	CallEnded  bool          // the call needs no final answer any more
 	Delay      time.Duration // since the send
 	Report     Report
 }
 
-// Withdrawn tells that the caller left: nothing is owed any more.
+// Withdrawn reports that the caller left. The call needs no final answer any more.
 type Withdrawn struct{ Call string }
 
-// ListUpdated brings the list of exchanges or changes to it.
+// ListUpdated carries the list of exchanges, or changes to it.
 type ListUpdated struct {
-	Complete bool // Entries is the whole list: what it lacks has left
-	Failed   bool // the list could not be had; Entries is empty
+	Complete bool // Entries is the whole list: hosts that it lacks have left
+	Failed   bool // the list could not be read; Entries is empty
 	Entries  []ListEntry
 }
 
 // ListEntry is one processor on the list.
 type ListEntry struct {
 	Host     string
-	Exchange int           // of its exchange or pool
-	Started  time.Duration // clock time of its last start; 0 if long ago
+	Exchange int           // number of its exchange, or of its pool in pool mode
+	Started  time.Duration // clock time of its last start; 0: long ago
 	State    State
 }
 
-// Reported brings a report by itself: a trunk group has changed.
+// Reported carries a report outside of an answer, after a change of a trunk group.
 type Reported struct {
 	Host   string
 	Report Report
 }
 
-// PlanUpdated brings weights worked out ahead. One with no Weights and no Guards ends
-// what was in force; an event whose Version is not above the last one's is ignored.
+// PlanUpdated carries the weights and guards of a plan, computed in advance. One without
+// either ends the plan in force. An event is ignored unless its Version is above that of
+// the last one.
 type PlanUpdated struct {
 	Version    uint64
-	ValidUntil time.Duration // clock time from which it no longer holds
+	ValidUntil time.Duration // clock time
 	Weights    []Weight
 	Guards     []Guard
 }
 
-// Weight is how well a tandem suits calls to a destination, against others for the
-// same destination: what the plan sends that way and what is spare beyond the own
-// group. Above 0; a tandem that has none is taken when no other will do.
+// Weight rates a tandem for calls to a destination, relative to the other tandems for it:
+// the traffic that the plan sends over it, and the spare circuits beyond the own group.
+// Only weights above 0 count; a tandem without one is used if no other is usable.
 type Weight struct {
 	Dest, Tandem int
 	Weight       float64
 }
 
-// Guard is what a circuit of the own group toward an exchange is worth to calls that
-// go direct, against the dearest call that could hold it: 0 to 1.
+// Guard is the value of a circuit of the own group toward an exchange to direct
+// calls, relative to the most valuable call that could use it: 0 to 1.
 type Guard struct {
-	Toward int
+	Toward int // exchange
 	Value  float64
 }
 
-// TimerFired tells that the time asked for by a Wake has come.
+// TimerFired reports that the time of a SetTimer has passed.
 type TimerFired struct{}
 
 func (Offered) isEvent()      {}
@@ -135,22 +135,23 @@
 func (PlanUpdated) isEvent()  {}
 func (TimerFired) isEvent()   {}
 
-// Report is what came with an answer: the trunk group's state, true at that
-// time, and figures of the far processor, late. A negative value is unknown.
+// Report is the state of a trunk group, exact when sent, and the load of the far processor,
+// which lags. A negative value is unknown.
 type Report struct {
 	Free, Size  int           // circuits (or agents) of the group toward the host
-	QueueDelay  time.Duration // the wait at its processor
-	QueueLength float64       // set-ups waiting there
-	Utilization float64       // share of it that is busy
-	AcceptRate  float64       // new set-ups a second that it takes from all senders
-	Throttle    float64       // share of set-ups that it asks each sender to hold back
+	QueueDelay  time.Duration // mean wait at its processor
+	QueueLength float64       // set-ups waiting at its processor
+	Utilization float64       // share of its processor that is busy, 0 to 1
+	AcceptRate  float64       // new set-ups per second that it accepts from all senders
+	Throttle    float64       // share of set-ups that it asks each sender to hold back, 0 to 1
 }
 
-// NoReport is a report in which nothing is known.
+// NoReport is a report without any known value.
 var NoReport = Report{Free: -1, Size: -1, QueueDelay: -1, QueueLength: -1, Utilization: -1, AcceptRate: -1, Throttle: -1}
 
-// Set fills in a figure by the name that the platform's reports have for it. An
-// unknown name is skipped, and a value below 0 means that it is not known.
+// Set sets the field that the platform's reports call by the given name. An unknown name
+// is ignored, and a value below 0 leaves the field unchanged. It returns an error if the
+// value is not a finite number.
 func (r *Report) Set(name, value string) error {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// State is a processor's state on the list.
+// State is the state of a processor on the list.
 type State uint8
 
 // The states of a listed processor.
@@ -189,44 +190,45 @@
 	Removed
 )
 
-// Result says how an attempt ended.
+// Result is the outcome of an attempt.
 type Result uint8
 
 // The results of an attempt.
 const (
-	Ended      Result = iota // the call stood and has ended
-	Failed                   // a fault, or no line of the number was free
-	Refused                  // turned away or turned back; see Cause
-	TimedOut                 // no answer in time
-	NotReached               // no connection: never seen by the far end
-	Reset                    // the set-up or the standing call was cut
-	Cancelled                // called off
-	NotSent                  // not sent at all
+	Ended      Result = iota // the call was established and has ended
+	Failed                   // signalling fault, or the number was busy; see Cause
+	Refused                  // refused by the destination or turned back by a tandem; see Cause
+	TimedOut                 // no answer within the send's time-out
+	NotReached               // no connection: the far processor never received it
+	Reset                    // the connection was lost during set-up, or cut the established call
+	Cancelled                // cancelled by the controller, or released by the caller
+	NotSent                  // no set-up was sent
 )
 
-// Cause narrows a Result.
+// Cause gives the reason for a Result.
 type Cause uint8
 
 // The causes that come with a result.
 const (
 	CauseNone            Cause = iota
-	CauseNoCircuit             // no circuit or agent was free
-	CauseTurnedBack            // the tandem turned the call back
-	CauseProcessorFull         // processor full; with Unused, the own one is down
+	CauseNoCircuit             // no free circuit or agent
+	CauseTurnedBack            // the tandem turned the call back for another reason than CauseDestinationFull
+	CauseProcessorFull         // processor full; with NotSent, the own processor is down
 	CauseNumberBusy            // every line of the number is busy
-	CauseDestinationFull       // turned back since the destination's processor was full
+	CauseDestinationFull       // turned back by the tandem, since the destination's processor was full
 )
 
-// Policy is what decides for one exchange: a Controller, or another to compare it
-// with. Handle's slice is valid until its next call.
+// Policy routes the calls of one exchange: a Controller, or another policy to compare it
+// with. Handle processes one event that occurred at clock time now and returns the actions
+// to take, in order; the slice is valid until the next call.
 type Policy interface {
 	Handle(now time.Duration, ev Event) []Action
 }
 
-// Factory makes the decider of an exchange that starts.
+// Factory creates the policy of one exchange. The seed determines its random draws.
 type Factory func(s Settings, seed uint64) (Policy, error)
 
-// NewPolicy is the Maker of Controllers.
+// NewPolicy is the Factory of Controllers.
 func NewPolicy(s Settings, seed uint64) (Policy, error) {
 	c, err := New(s, seed)
 	if err != nil {
@@ -235,19 +237,19 @@
 	return c, nil
 }
 
-// An Action is something that the controller wants done, in the given order.
+// Action is an output of a Policy: one of the types below.
 type Action interface{ isAction() }
 
-// Send sets a call up toward a host: direct if it is the destination's, else
-// with the host as the one tandem.
+// Send sends the set-up of a call to a host: directly if it is the destination's, else
+// with the host as the only tandem.
 type Send struct {
 	Call    string
 	Host    string
 	Timeout time.Duration
 }
 
-// Refuse is the final answer "turned away". A caller that comes back after the
-// time given finds what it was refused for tried again.
+// Refuse is the final answer "refused". RetryAfter is the wait after which a redial is worth
+// trying.
 type Refuse struct {
 	Call       string
 	RetryAfter time.Duration
@@ -256,19 +258,19 @@
 // Fail is the final answer "failed".
 type Fail struct{ Call string }
 
-// Cancel calls an attempt off.
+// Cancel ends an outstanding attempt.
 type Cancel struct {
 	Call    string
 	Attempt int
 }
 
-// SetTimer asks for a Woken after the given time.
+// SetTimer asks for a TimerFired after the given time.
 type SetTimer struct{ After time.Duration }
 
-// Subscribe asks for the list and its changes.
+// Subscribe asks for the list of exchanges and its changes.
 type Subscribe struct{}
 
-// Log is a line for the operators.
+// Log is a log line for operators.
 type Log struct{ Text string }
 
 func (Send) isAction()      {}
