--- a/decide/plan/verify.go
+++ b/decide/plan/verify.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Verification holds the figures that Verify computed.
+// Verification holds the values that Verify computed.
 type Verification struct {
 	Worth float64 // of the answer, worth a second, recomputed from its routes
 	Bound float64 // upper bound on the worth of any plan, from the answer's prices alone
