--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -16,12 +16,12 @@
 func main() {
 	policy := flag.String("policy", "module", "module, even or direct")
 	flag.Parse()
-	mk, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct}[*policy]
+	factory, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct}[*policy]
 	if !ok {
 		fmt.Fprintf(os.Stderr, "wirehost: -policy: %q is none of module, even and direct\n", *policy)
 		os.Exit(2)
 	}
-	if err := wire.Serve(os.Stdin, os.Stdout, os.Stderr, mk); err != nil {
+	if err := wire.Serve(os.Stdin, os.Stdout, os.Stderr, factory); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -527,10 +527,10 @@
 
 // readReport reads the values of a load report, in the order of the columns.
 func readReport(fields *fieldReader, columns []string) (routing.Report, error) {
-	rep := routing.NoReport
+	report := routing.NoReport
 	row, err := fields.optional("feedback")
 	if err != nil || row == "" {
-		return rep, err
+		return report, err
 	}
 	for i := 0; row != "" && i < len(columns); i++ {
 		var v string
@@ -538,11 +538,11 @@
 		if v == "" || v == "-" {
 			continue
 		}
-		if err := rep.Set(columns[i], v); err != nil {
-			return rep, fields.invalid("feedback", err.Error())
+		if err := report.Set(columns[i], v); err != nil {
+			return report, fields.invalid("feedback", err.Error())
 		}
 	}
-	return rep, nil
+	return report, nil
 }
 
 // writeText writes an action whose only value extends to the end of the line; line breaks in it
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,7 +18,7 @@
 	"report.columns=spare,total,mean_ms,allowed report.how=piggyback rules.coldShare=0.29 rules.fallMultiple=2.5 " +
 	"rules.overloadForMs=1000.0 rules.rampTimeMs=15000.0 rules.answerSlackMs=20.0 some.new.key=x,y\n"
 
-const lists = "LIST 0 3\nITEM 10.0.0.1:5060 1 a - U 0 std\nITEM 10.0.0.2:5060 1 a - U 1 std\n" +
+const discovery = "LIST 0 3\nITEM 10.0.0.1:5060 1 a - U 0 std\nITEM 10.0.0.2:5060 1 a - U 1 std\n" +
 	"ITEM 10.0.0.3:5060 1 b - U 2 std\nDISCOVERY proxy-0 0 Persisted 4\n"
 
 func serve(t *testing.T, in string) (out string, err error) {
@@ -28,8 +28,8 @@
 	return b.String(), err
 }
 
-// strip leaves timers out: they are not what the transcripts are about.
-func strip(out string) string {
+// withoutTimers removes the timer actions from a transcript.
+func withoutTimers(out string) string {
 	var keep []string
 	for _, l := range strings.Split(out, "\n") {
 		if !strings.HasPrefix(l, "SCHEDULE ") {
@@ -40,11 +40,11 @@
 }
 
 func TestTranscripts(t *testing.T) {
-	start := "SYNC 1000.5\n" + launch + lists + "FLUSH\n"
+	start := "SYNC 1000.5\n" + launch + discovery + "FLUSH\n"
 	for _, tc := range []struct{ name, in, want string }{
-		{"nothing", "", ""},
+		{"no input", "", ""},
 		{"an empty batch", "SYNC 5\nFLUSH\n", "OK\n"},
-		{"a call stands", start +
+		{"an established call", start +
 			"SYNC 1010\nJOB_IN proxy-0 t/a plain - 00ff 3010.0 - 1 1 -1 0\nFLUSH\n" +
 			"SYNC 1060\nSTARTED proxy-0 t/a 0 10.0.0.2:5060 50.0\nFLUSH\n" +
 			"SYNC 9000\nSETTLED proxy-0 t/a 7990.0 delivered 1 10.0.0.2:5060 - 0 4,20,12.5,30\nFLUSH\n",
@@ -58,11 +58,11 @@
 			"SYNC 1010\nSAMPLED proxy-0 10.0.0.2:5060 delivered 0.0 0,20,-1,-1\n" +
 			"JOB_IN proxy-0 t/a plain - 00ff 3010.0 - 1 1 -1 0\nFLUSH\n",
 			"OK\nDISPATCH proxy-0 t/a 10.0.0.3:5060 1500\nOK\n"},
-		{"in transit with few circuits", start +
+		{"a transit call with few circuits", start +
 			"SYNC 1010\nSAMPLED proxy-0 10.0.0.2:5060 delivered 0.0 1,20,-1,-1\n" +
 			"JOB_IN proxy-0 t/a plain - - 3010.0 - 1 1 2 8\nFLUSH\n",
 			"OK\nNOT_NOW proxy-0 t/a 0\nOK\n"},
-		{"a list number used again in one batch", start +
+		{"a list slot reused in one batch", start +
 			"SYNC 1010\nLIST 3 1\nITEM 10.0.0.2:5060 1 a - L 1 std\nDISCOVERY proxy-0 3 Partial 5\n" +
 			"LIST 3 1\nITEM 10.0.0.3:5060 1 a - D 2 std\nDISCOVERY proxy-0 3 Partial 6\n" +
 			"JOB_IN proxy-0 t/a plain - - 3010.0 - 1 1 -1 0\nJOB_IN proxy-0 t/b dear - - 3010.0 - 2 1 -1 0\nFLUSH\n",
@@ -74,7 +74,7 @@
 			"JOB_IN proxy-0 t/c plain - - 3010.0 - 2 1 -1 0\nFLUSH\n",
 			"OK\nDISPATCH proxy-0 t/a 10.0.0.2:5060 1500\nOK\n" +
 				"NOT_NOW proxy-0 t/b 0\nDISPATCH proxy-0 t/c 10.0.0.3:5060 1500\nOK\n"},
-		{"a late outcome and timer", start +
+		{"a late end of an attempt and a late timer", start +
 			"SYNC 1010\nSETTLED proxy-0 t/zz 5 expired 1 10.0.0.2:5060 - 0 -\nBELL proxy-0 1\n" +
 			"WITHDRAWN proxy-0 t/zz\nFLUSH\n", "OK\nOK\n"},
 	} {
@@ -82,24 +82,24 @@
 		if err != nil {
 			t.Errorf("%s: %v", tc.name, err)
 		}
-		if got := strip(out); got != tc.want {
+		if got := withoutTimers(out); got != tc.want {
 			t.Errorf("%s: replied\n%swant\n%s", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestManyInstancesActApart(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	two := strings.ReplaceAll(launch, "proxy-0", "proxy-9")
-	out, err := serve(t, "SYNC 1000\n"+launch+lists+two+strings.ReplaceAll(lists, "proxy-0", "proxy-9")+
+	out, err := serve(t, "SYNC 1000\n"+launch+discovery+two+strings.ReplaceAll(discovery, "proxy-0", "proxy-9")+
 		"JOB_IN proxy-9 t/a plain - - 3010.0 - 1 1 -1 0\nJOB_IN proxy-0 t/b plain - - 3010.0 - 2 1 -1 0\nFLUSH\n")
 	want := "DISPATCH proxy-9 t/a 10.0.0.2:5060 1500\nDISPATCH proxy-0 t/b 10.0.0.3:5060 1500\nOK\n"
-	if err != nil || strip(out) != want {
-		t.Errorf("replied %q, %v; want %q", strip(out), err, want)
+	if err != nil || withoutTimers(out) != want {
+		t.Errorf("replied %q, %v; want %q", withoutTimers(out), err, want)
 	}
 }
 
 func TestMalformedInputIsNamed(t *testing.T) {
-	start := "SYNC 1000\n" + launch + lists
+	start := "SYNC 1000\n" + launch + discovery
 	for _, tc := range []struct{ name, in, want string }{
 		{"unknown message", start + "HELLO proxy-0\nFLUSH\n", `line 8: field message: "HELLO" is not known`},
 		{"no clock", "SYNC\nFLUSH\n", "line 1: field clock: missing"},
@@ -114,7 +114,7 @@
 		{"bad state", "SYNC 1\nLIST 0 1\nITEM h 1 a - X 0 k\nFLUSH\n", "line 3: field state"},
 		{"bad report", start + "SAMPLED proxy-0 10.0.0.2:5060 delivered 0.0 x,20\nFLUSH\n", "line 8: field feedback"},
 		{"bad setting", "SYNC 1\nLAUNCH proxy-0 1 fleetSize=many\nFLUSH\n", "line 2: field params fleetSize"},
-		{"unserved settings", "SYNC 1\nLAUNCH proxy-0 1 fleetSize=2\nFLUSH\n", "line 2: field params: settings: no class"},
+		{"invalid settings", "SYNC 1\nLAUNCH proxy-0 1 fleetSize=2\nFLUSH\n", "line 2: field params: settings: no class"},
 		{"bad seed", "SYNC 1\nLAUNCH proxy-0 x a=b\nFLUSH\n", "line 2: field initSeed"},
 	} {
 		out, err := serve(t, tc.in)
@@ -127,14 +127,14 @@
 	}
 }
 
-type broken struct{}
+type panickingPolicy struct{}
 
-func (broken) Handle(time.Duration, routing.Event) []routing.Action { panic("no such thing") }
+func (panickingPolicy) Handle(time.Duration, routing.Event) []routing.Action { panic("no such thing") }
 
 func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
-	mk := func(routing.Settings, uint64) (routing.Policy, error) { return broken{}, nil }
-	if err := Serve(strings.NewReader("SYNC 1\n"+launch+lists+"FLUSH\n"), &out, io.Discard, mk); err != nil {
+	factory := func(routing.Settings, uint64) (routing.Policy, error) { return panickingPolicy{}, nil }
+	if err := Serve(strings.NewReader("SYNC 1\n"+launch+discovery+"FLUSH\n"), &out, io.Discard, factory); err != nil {
 		t.Fatal(err)
 	}
 	if want := "GIVE_IN proxy-0 panic: no such thing\nOK\n"; out.String() != want {
@@ -142,27 +142,27 @@
 	}
 }
 
-type recorder struct {
-	s    routing.Settings
-	evs  []routing.Event
-	acts []routing.Action
+type recordingPolicy struct {
+	settings routing.Settings
+	events   []routing.Event
+	actions  []routing.Action
 }
 
-func (r *recorder) Handle(_ time.Duration, ev routing.Event) []routing.Action {
-	r.evs = append(r.evs, ev)
-	return r.acts
+func (r *recordingPolicy) Handle(_ time.Duration, ev routing.Event) []routing.Action {
+	r.events = append(r.events, ev)
+	return r.actions
 }
 
 func TestEveryActionIsWritten(t *testing.T) {
-	mk := func(routing.Settings, uint64) (routing.Policy, error) {
-		return &recorder{acts: []routing.Action{
+	factory := func(routing.Settings, uint64) (routing.Policy, error) {
+		return &recordingPolicy{actions: []routing.Action{
 			routing.Send{Call: "c", Host: "h", Timeout: 80 * time.Millisecond}, routing.Refuse{Call: "c"},
 			routing.Fail{Call: "c"}, routing.Cancel{Call: "c", Attempt: 2},
 			routing.SetTimer{After: time.Second}, routing.Subscribe{}, routing.Log{Text: "two\nlines"},
 		}}, nil
 	}
 	var out bytes.Buffer
-	if err := Serve(strings.NewReader("SYNC 1\n"+launch+"BELL proxy-0 1\nFLUSH\n"), &out, io.Discard, mk); err != nil {
+	if err := Serve(strings.NewReader("SYNC 1\n"+launch+"BELL proxy-0 1\nFLUSH\n"), &out, io.Discard, factory); err != nil {
 		t.Fatal(err)
 	}
 	want := "DISPATCH proxy-0 c h 80\nNOT_NOW proxy-0 c 0\nABORT proxy-0 c\nRECALL proxy-0 c 2\n" +
@@ -172,10 +172,10 @@
 	}
 }
 
-// A refusal says when to dial again only where the settings allow it.
-func TestRefusalsAdvise(t *testing.T) {
-	mk := func(routing.Settings, uint64) (routing.Policy, error) {
-		return &recorder{acts: []routing.Action{routing.Refuse{Call: "c", RetryAfter: 1500 * time.Millisecond}}}, nil
+// A refusal carries the time of the next redial only if the settings allow it.
+func TestRefusalsCarryRetryAfter(t *testing.T) {
+	factory := func(routing.Settings, uint64) (routing.Policy, error) {
+		return &recordingPolicy{actions: []routing.Action{routing.Refuse{Call: "c", RetryAfter: 1500 * time.Millisecond}}}, nil
 	}
 	for setting, want := range map[string]string{
 		"limits.retryAfter=true": "1500", "limits.retryAfter=false": "0", "": "0",
@@ -185,7 +185,7 @@
 			settings = launch
 		}
 		var out bytes.Buffer
-		if err := Serve(strings.NewReader("SYNC 1\n"+settings+"BELL proxy-0 1\nFLUSH\n"), &out, io.Discard, mk); err != nil {
+		if err := Serve(strings.NewReader("SYNC 1\n"+settings+"BELL proxy-0 1\nFLUSH\n"), &out, io.Discard, factory); err != nil {
 			t.Fatal(err)
 		}
 		if want := "NOT_NOW proxy-0 c " + want + "\nOK\n"; out.String() != want {
@@ -195,20 +195,23 @@
 }
 
 func TestEventsAndSettingsAreTranslated(t *testing.T) {
-	var rec recorder
-	mk := func(s routing.Settings, _ uint64) (routing.Policy, error) { rec.s = s; return &rec, nil }
+	var recorder recordingPolicy
+	factory := func(s routing.Settings, _ uint64) (routing.Policy, error) {
+		recorder.settings = s
+		return &recorder, nil
+	}
 	in := "SYNC 1\n" + launch +
 		"SETTLED proxy-0 c 5.25 shed 0 h 8003 1 3,20,-1,7.5\n" +
 		"SETTLED proxy-0 c 5 shed 0 h 18 1 -\nSETTLED proxy-0 c 5 app_error 0 h 4 0 -\n" +
 		"JOB_IN proxy-0 c dear - ab 10 - 2 2 -1 26\nPEER_DATA proxy-0 1 00\nDISCOVERY proxy-0 9 Error 0\nFLUSH\n"
-	if err := Serve(strings.NewReader(in), io.Discard, io.Discard, mk); err != nil {
+	if err := Serve(strings.NewReader(in), io.Discard, io.Discard, factory); err != nil {
 		t.Fatal(err)
 	}
-	rep := routing.NoReport
-	rep.Free, rep.Size, rep.AcceptRate = 3, 20, 7.5
+	report := routing.NoReport
+	report.Free, report.Size, report.AcceptRate = 3, 20, 7.5
 	want := []routing.Event{
 		routing.AttemptEnded{Call: "c", Attempt: 1, Host: "h", Result: routing.Refused, Cause: routing.CauseProcessorFull,
-			RetryAfter: 500 * time.Millisecond, Delay: 5250 * time.Microsecond, Report: rep},
+			RetryAfter: 500 * time.Millisecond, Delay: 5250 * time.Microsecond, Report: report},
 		routing.AttemptEnded{Call: "c", Attempt: 1, Host: "h", Result: routing.Refused, Cause: routing.CauseDestinationFull,
 			Delay: 5 * time.Millisecond, Report: routing.NoReport},
 		routing.AttemptEnded{Call: "c", Host: "h", Result: routing.Failed, Cause: routing.CauseNumberBusy,
@@ -217,10 +220,10 @@
 			Transit: true, Redial: true, AfterCut: true},
 		routing.ListUpdated{Failed: true},
 	}
-	if !reflect.DeepEqual(rec.evs, want) {
-		t.Errorf("events\n%+v, want\n%+v", rec.evs, want)
+	if !reflect.DeepEqual(recorder.events, want) {
+		t.Errorf("events\n%+v, want\n%+v", recorder.events, want)
 	}
-	s := rec.s
+	s := recorder.settings
 	if s.FleetSize != 3 || s.ReleaseDelay != 200*time.Millisecond || s.Classes[1].Width != 2 || s.MaxAttempts != 6 ||
 		s.Classes[1].Hold != 6300*time.Millisecond || s.ColdCapacity != 0.29 || s.PoolMode ||
 		!reflect.DeepEqual(s.Classes[0].Pools, []int{0, 4}) || !reflect.DeepEqual(s.Classes[1].Pools, []int{3}) {
