--- a/routing/controller.go
+++ b/routing/controller.go
@@ -143,9 +143,10 @@
 // until it is cleared.
 type backoff struct{ interval, until time.Duration }
 
-func (p *backoff) extend(now, initial, limit time.Duration) {
-	p.interval = min(max(2*p.interval, initial), limit)
-	p.until = now + p.interval
+// extend doubles the interval, between initial and limit, and starts it now.
+func (b *backoff) extend(now, initial, limit time.Duration) {
+	b.interval = min(max(2*b.interval, initial), limit)
+	b.until = now + b.interval
 }
 
 // agedRate is an exponentially decaying rate of events per second.
--- a/routing/plan_test.go
+++ b/routing/plan_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// A larger guard reserves more of a group's circuits for direct calls.
+// A guard of 1 reserves more of a group's circuits for direct calls than one of 0.
 func TestGuards(t *testing.T) {
 	for _, tc := range []struct {
 		guards []Guard
