--- a/internal/callapi/link.go
+++ b/internal/callapi/link.go
@@ -92,13 +92,13 @@
 		}
 	case typeGroup:
 		if m.Free == nil || m.Size == nil || *m.Free < 0 || *m.Size < *m.Free {
-			ev.Note = errors.New("group: free and size are wanted")
+			ev.Warning = errors.New("group: free and size are wanted")
 			return ev, nil
 		}
 		ev.Kind, ev.Report = trunk.Group, routing.NoReport
 		ev.Report.Free, ev.Report.Size = *m.Free, *m.Size
 	case typeError:
-		ev.Note = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
+		ev.Warning = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
 	default:
 		return ev, errBad{fmt.Sprintf("type: %q is no message of a switch", clip(m.Type))}
 	}
--- a/internal/platform/link.go
+++ b/internal/platform/link.go
@@ -74,9 +74,9 @@
 		}
 	case sig.Release:
 		ev.Kind = trunk.End
-		ev.End, ev.Note = end(&m)
+		ev.End, ev.Warning = end(&m)
 	case sig.Group:
-		if ev.Report, ev.Note = groupState(&m); ev.Note == nil {
+		if ev.Report, ev.Warning = groupState(&m); ev.Warning == nil {
 			ev.Kind = trunk.Group
 		}
 	case sig.Test:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -357,7 +357,7 @@
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
 	}
 	opt.Settings = set.Brain
-	times := trunk.Times{Dial: set.DialTimeout, Silence: set.Silence(), Rest: set.Brain.ReleaseDelay}
+	times := trunk.Timeouts{Dial: set.DialTimeout, Silence: set.Silence(), ReleaseBackoff: set.Brain.ReleaseDelay}
 	opt.Open = func(m core.Member, peer *core.Peer) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
 		if inventory.IsURL(m.Addr) {
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -35,8 +35,8 @@
 	lateDials = 3
 )
 
-// Up is what a link tells of its switch.
-type Up interface {
+// Handler is what a link tells of its switch.
+type Handler interface {
 	Answered(id uint64, description []byte) core.Verdict
 	Ended(id uint64, e core.End)
 	Group(r routing.Report)
@@ -60,11 +60,11 @@
 // it also when nothing is sent. It implements core.Link.
 type Link struct {
 	member core.Member
-	up     Up
+	up     Handler
 	log    *slog.Logger
 	count  *metrics.Set
 	dial   Dial
-	times  Times
+	times  Timeouts
 	ctx    context.Context
 	stop   context.CancelFunc
 	group  errgroup.Group // the keeper and the readers
@@ -96,7 +96,7 @@
 }
 
 // New makes a link and starts to connect.
-func New(ctx context.Context, m core.Member, up Up, times Times, log *slog.Logger, count *metrics.Set, dial Dial) *Link {
+func New(ctx context.Context, m core.Member, up Handler, times Timeouts, log *slog.Logger, count *metrics.Set, dial Dial) *Link {
 	l := &Link{member: m, up: up, log: log.With("switch", m.ID, "addr", m.Addr), count: count, dial: dial, times: times,
 		turn: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, released: map[uint64]time.Time{}, standing: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
@@ -281,7 +281,7 @@
 		l.current.unproven = nil
 	}
 	now := time.Now()
-	maps.DeleteFunc(l.released, func(_ uint64, at time.Time) bool { return now.Sub(at) >= l.times.Rest })
+	maps.DeleteFunc(l.released, func(_ uint64, at time.Time) bool { return now.Sub(at) >= l.times.ReleaseBackoff })
 	for _, r := range pending {
 		if now.Sub(r.since) > promptRelease && len(l.released) < maxPending {
 			l.released[r.id] = now
@@ -622,7 +622,7 @@
 		l.released[id] = now
 	}
 	at, late := l.released[id]
-	return late && now.Sub(at) < l.times.Rest
+	return late && now.Sub(at) < l.times.ReleaseBackoff
 }
 
 // GiveUp tells the switch that a set-up is given up.
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -121,7 +121,7 @@
 				conns := make(chan *pipe, 64)
 				dials := -1
 				up := listener{over: make(chan string, 8)}
-				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, up, Times{Dial: 500 * time.Millisecond, Silence: time.Second, Rest: 500 * time.Millisecond},
+				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, up, Timeouts{Dial: 500 * time.Millisecond, Silence: time.Second, ReleaseBackoff: 500 * time.Millisecond},
 					slog.New(slog.DiscardHandler), metrics.New(), func(ctx context.Context, _ string) (Conn, error) {
 						n := dials
 						dials++
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -165,8 +165,8 @@
 			break
 		}
 		s.received()
-		if ev.Note != nil {
-			l.log.Warn("message of a switch with something unknown", "error", ev.Note)
+		if ev.Warning != nil {
+			l.log.Warn("message of a switch with something unknown", "error", ev.Warning)
 		}
 		s.take(ev)
 	}
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -62,7 +62,7 @@
 
 // The kinds of events.
 const (
-	Nothing Kind = iota // free of meaning here
+	Ignored Kind = iota // free of meaning here
 	Answer
 	End
 	Group
@@ -76,14 +76,14 @@
 	Description []byte         // of an answer
 	End         core.End       // of an end
 	Report      routing.Report // of a group's state
-	Note        error          // why something in it was skipped
+	Warning     error          // why something in it was skipped
 }
 
-// Times bound what a link waits for.
-type Times struct {
-	Dial    time.Duration // a dial
-	Silence time.Duration // a word from a switch that has a set-up
-	Rest    time.Duration // a call's next set-up to a switch after a release that went out late
+// Timeouts bound what a link waits for.
+type Timeouts struct {
+	Dial           time.Duration // a dial
+	Silence        time.Duration // a word from a switch that has a set-up
+	ReleaseBackoff time.Duration // a call's next set-up to a switch after a release that went out late
 }
 
 // dialResult is the metrics label of a dial's error.
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -58,7 +58,7 @@
 	defer cancel()
 	reachable, tried := make(chan struct{}), make(chan struct{}, 16)
 	conn := &recorder{said: make(chan string, 8), closed: make(chan struct{})}
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Times{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			tried <- struct{}{}
 			select {
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	said := make(chan string, 8) // on whichever connection
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Times{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			return &recorder{said: said, closed: make(chan struct{})}, nil
 		})
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	dials := make(chan bool, 64)
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Times{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			dials <- true
 			return &recorder{said: make(chan string, 8), closed: make(chan struct{})}, nil
