--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -20,247 +20,251 @@
 )
 
 const (
-	redialFirst = 50 * time.Millisecond
-	redialMost  = time.Second
-	verifyPause = 50 * time.Millisecond // between verifications of a switch that is suspected
-	// A switch may go on for a moment on a connection that broke. What it says of calls that
-	// stand there it repeats on the next connection that is opened after that.
-	renewAfter = 300 * time.Millisecond
-	// formerCalls is how long calls from before a start are reckoned with where none is
-	// known to stand.
-	formerCalls = 30 * time.Second
-	maxPending  = 1024 // releases kept for a switch without a connection
-	// A dial that was given up goes on for so many times its limit: a connection that comes
-	// up late and is closed at once may take a release with it.
-	lateDials = 3
+	minRedialBackoff = 50 * time.Millisecond
+	maxRedialBackoff = time.Second
+	probeInterval    = 50 * time.Millisecond // between probes of a suspected switch
+	// A switch may use a connection for a moment after it broke. It repeats its messages about
+	// established calls on the next connection that is opened after that.
+	renewalDelay = 300 * time.Millisecond
+	// formerCallsPeriod is how long after the link's creation calls from before a restart are
+	// assumed to exist at the switch although none is known.
+	formerCallsPeriod  = 30 * time.Second
+	maxPendingReleases = 1024 // kept for a switch without a connection
+	// An abandoned dial is cancelled only after this many times its timeout: a connection that
+	// comes up late and is closed at once may lose a release that the switch sent on it.
+	lateDialFactor = 3
 )
 
-// Handler is what a link tells of its switch.
+// Handler receives what a link learns about its switch.
 type Handler interface {
 	Answered(id uint64, description []byte) core.Verdict
 	Ended(id uint64, e core.End)
 	Group(r routing.Report)
-	// CallsOver says that what has stood at the switch since before a time is over,
-	// though the switch did not say so.
+	// CallsOver reports that the calls established at the switch before the given time have
+	// ended, although the switch did not release them.
 	CallsOver(why core.EndReason, before time.Time)
-	// EvidenceMissing says that the switch does not answer: others may not either.
+	// EvidenceMissing reports that the switch does not answer. Others may not either.
 	EvidenceMissing()
 }
 
-// pendingRelease is a release that the switch has not surely had.
+// pendingRelease is a release that the switch may not have received.
 type pendingRelease struct {
-	id    uint64
-	since time.Time // of the end that it tells of
+	id      uint64
+	endedAt time.Time // when the call or set-up ended
 }
 
-// promptRelease is how soon after an end its release counts as sent with it.
-const promptRelease = 50 * time.Millisecond
+// maxPromptDelay is how soon after a call's end its release must be sent to count as prompt.
+const maxPromptDelay = 50 * time.Millisecond
 
-// Link keeps one connection to one switch: group states and releases come on
-// it also when nothing is sent. It implements core.Link.
+// Link keeps one connection to one switch open, also when there is nothing to send, because
+// group states and releases arrive on it. It implements core.Link.
 type Link struct {
-	member core.Member
-	up     Handler
-	log    *slog.Logger
-	count  *metrics.Set
-	dial   Dial
-	times  Timeouts
-	ctx    context.Context
-	stop   context.CancelFunc
-	group  errgroup.Group // the keeper and the readers
-	turn   chan struct{}  // held by whoever dials
-	wake   chan struct{}  // has a value when the keeper has something to look at
-	made   time.Time
+	member   core.Member
+	handler  Handler
+	log      *slog.Logger
+	counters *metrics.Set
+	dial     Dial
+	timeouts Timeouts
+	ctx      context.Context
+	cancel   context.CancelFunc
+	group    errgroup.Group // the goroutines of maintain, dials and readers
+	dialing  chan struct{}  // a semaphore held while dialing
+	wake     chan struct{}  // wakes maintain
+	created  time.Time
 
 	mu      sync.Mutex // guards all below
 	closed  bool       // no new session
-	leaving bool       // the switch has gone by the list: another may have its address
+	removed bool       // the switch is no longer listed; another may have its address
 	current *session   // takes set-ups; nil: no connection
-	// released has calls whose release went out late, and when: their set-ups rest from
-	// then on, as the switch may have held them until then. At most maxPending.
-	released map[uint64]time.Time
-	silent   *session // fell silent, and is kept open: whether it is reset once another comes up tells who that is
-	sessions map[*session]bool
-	pending  []pendingRelease     // to be sent first on the next connection
-	standing map[uint64]time.Time // calls that stand there, as far as this side knows, and since when
-	detector *liveness.Detector
-	state    liveness.State // as logged last
-	watch    *time.Timer    // when the detector is to be asked again
-	verify   bool           // the detector asks for a verification
-	renew    bool           // another connection is to take the place of the present one
-	renewUp  bool           // ... of the next one that comes up, some time after that
-	lastDial struct {       // how the last dial went
+	// lateReleases holds calls whose release was sent late, and when. Their set-ups are held
+	// back for Timeouts.ReleaseBackoff from then on, as the switch may have held the calls
+	// until then. At most maxPendingReleases.
+	lateReleases map[uint64]time.Time
+	// silentSession fell silent and is kept open. Whether it is reset once another connection
+	// comes up shows if that one reaches the same peer.
+	silentSession *session
+	sessions      map[*session]bool
+	pending       []pendingRelease     // to be sent first on the next connection
+	established   map[uint64]time.Time // calls known to be established at the switch, and since when
+	detector      *liveness.Detector
+	state         liveness.State // as last logged
+	checkTimer    *time.Timer    // runs until the detector's next check
+	probe         bool           // the detector asks for a probe
+	renew         bool           // the current connection is to be replaced
+	renewNext     bool           // the next connection that comes up is to be replaced after renewalDelay
+	lastDial      struct {
 		at  time.Time
 		err error
 	}
 }
 
-// New makes a link and starts to connect.
-func New(ctx context.Context, m core.Member, up Handler, times Timeouts, log *slog.Logger, count *metrics.Set, dial Dial) *Link {
-	l := &Link{member: m, up: up, log: log.With("switch", m.ID, "addr", m.Addr), count: count, dial: dial, times: times,
-		turn: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, released: map[uint64]time.Time{}, standing: map[uint64]time.Time{},
+// New creates a link and starts to connect.
+func New(ctx context.Context, m core.Member, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
+	l := &Link{member: m, handler: handler, log: log.With("switch", m.ID, "addr", m.Addr), counters: counters, dial: dial, timeouts: timeouts,
+		dialing: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, lateReleases: map[uint64]time.Time{}, established: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
-	l.made = time.Now()
-	l.watch = time.AfterFunc(time.Hour, l.check)
-	l.watch.Stop()
-	l.ctx, l.stop = context.WithCancel(ctx)
-	l.group.Go(l.keep)
+	l.created = time.Now()
+	l.checkTimer = time.AfterFunc(time.Hour, l.check)
+	l.checkTimer.Stop()
+	l.ctx, l.cancel = context.WithCancel(ctx)
+	l.group.Go(l.maintain)
 	return l
 }
 
-// keep holds a connection up until the link closes, and verifies the switch when the
-// detector asks for that.
-func (l *Link) keep() error {
-	gap := redialFirst
+// maintain keeps a connection open until the link closes, and probes the switch when the
+// detector asks for it.
+func (l *Link) maintain() error {
+	backoff := minRedialBackoff
 	for l.ctx.Err() == nil {
 		l.mu.Lock()
-		current, verify, leaving := l.current, l.verify || l.renew, l.leaving
+		current, probe, removed := l.current, l.probe || l.renew, l.removed
 		l.renew = l.renew && current == nil
 		l.mu.Unlock()
 		pause := time.Hour
 		switch {
-		case leaving:
+		case removed:
 		case current == nil:
 			if _, err := l.connect(l.ctx); err == nil {
-				gap = redialFirst
+				backoff = minRedialBackoff
 				continue
 			}
-			pause, gap = gap, min(2*gap, redialMost)
-			if verify {
-				pause = verifyPause
+			pause, backoff = backoff, min(2*backoff, maxRedialBackoff)
+			if probe {
+				pause = probeInterval
 			}
-		case verify:
-			if l.verifyBy(current) == nil {
+		case probe:
+			if l.probeBeside(current) == nil {
 				continue
 			}
-			pause = verifyPause
+			pause = probeInterval
 		}
-		again := time.NewTimer(pause)
+		timer := time.NewTimer(pause)
 		select {
-		case <-again.C:
+		case <-timer.C:
 		case <-l.wake:
 		case <-l.ctx.Done():
 		}
-		again.Stop()
+		timer.Stop()
 	}
 	return nil
 }
 
-// wakeKeeper makes the keeper look again.
-func (l *Link) wakeKeeper() {
+// wakeMaintain makes maintain check the link's state again.
+func (l *Link) wakeMaintain() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// verifyBy asks the switch for a sign of life beside a connection that is silent: by a
-// ping where the wire has one, else by another connection, which takes its place.
-func (l *Link) verifyBy(current *session) error {
-	ctx, cancel := context.WithTimeout(l.ctx, l.times.Dial)
+// probeBeside probes the switch while the current connection is silent: by a ping if the
+// protocol has one, otherwise by another connection, which replaces the current one.
+func (l *Link) probeBeside(current *session) error {
+	ctx, cancel := context.WithTimeout(l.ctx, l.timeouts.Dial)
 	defer cancel()
 	if p, ok := current.conn.(Pinger); ok {
 		err := p.Ping(ctx)
-		l.pinged(err)
+		l.recordPing(err)
 		if err != nil {
 			l.mu.Lock()
-			current.end(metrics.CloseSilent)
+			current.close(metrics.CloseSilent)
 			l.mu.Unlock()
 		}
 		return err
 	}
 	select {
-	case l.turn <- struct{}{}:
+	case l.dialing <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-l.turn }()
+	defer func() { <-l.dialing }()
 	_, err := l.dialSession()
 	return err
 }
 
-// connect returns the session for set-ups, dialling if there is none. Who waits while
-// another dials takes that dial's result.
+// connect returns the session for set-ups and dials if there is none. Concurrent callers
+// share the result of one dial.
 func (l *Link) connect(ctx context.Context) (*session, error) {
-	asked := time.Now()
+	requested := time.Now()
 	select {
-	case l.turn <- struct{}{}:
+	case l.dialing <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	defer func() { <-l.turn }()
+	defer func() { <-l.dialing }()
 	l.mu.Lock()
 	current, last := l.current, l.lastDial
 	l.mu.Unlock()
 	if current != nil {
 		return current, nil
 	}
-	if last.err != nil && last.at.After(asked) {
+	if last.err != nil && last.at.After(requested) {
 		return nil, last.err
 	}
 	return l.dialSession()
 }
 
-// dialed is what came of a dial.
-type dialed struct {
+// dialResult is the outcome of a dial.
+type dialResult struct {
 	conn Conn
 	err  error
 }
 
-// dialSession opens a connection and makes it the one for set-ups. The turn is held.
+// dialSession opens a connection and makes it the current session. The dialing semaphore
+// is held.
 func (l *Link) dialSession() (*session, error) {
-	result := make(chan dialed, 1)
+	result := make(chan dialResult, 1)
 	l.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(l.ctx, lateDials*l.times.Dial)
+		ctx, cancel := context.WithTimeout(l.ctx, lateDialFactor*l.timeouts.Dial)
 		defer cancel()
 		conn, err := l.dial(ctx, l.member.Addr)
-		result <- dialed{conn, err}
+		result <- dialResult{conn, err}
 		return nil
 	})
-	limit := time.NewTimer(l.times.Dial)
-	defer limit.Stop()
+	timeout := time.NewTimer(l.timeouts.Dial)
+	defer timeout.Stop()
 	select {
 	case r := <-result:
-		return l.adopt(r)
-	case <-limit.C:
+		return l.startSession(r)
+	case <-timeout.C:
 	}
-	l.dialled(context.DeadlineExceeded)
+	l.recordDial(context.DeadlineExceeded)
 	l.group.Go(func() error {
 		if r := <-result; r.err == nil {
-			_, _ = l.adopt(r) // nobody waits for it any more
+			_, _ = l.startSession(r) // the caller has already returned
 		}
 		return nil
 	})
 	return nil, context.DeadlineExceeded
 }
 
-// adopt makes a connection that came up the one for set-ups.
-func (l *Link) adopt(r dialed) (*session, error) {
+// startSession makes a new connection the current session.
+func (l *Link) startSession(r dialResult) (*session, error) {
 	conn, err := r.conn, r.err
 	if err == nil {
 		err = l.flush(conn)
 	}
-	l.dialled(err)
+	l.recordDial(err)
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.leaving {
+	if l.closed || l.removed {
 		conn.Close()
 		return nil, context.Canceled
 	}
 	s := newSession(l, conn)
 	l.sessions[s] = true
-	for _, old := range []*session{l.current, l.silent} {
+	for _, old := range []*session{l.current, l.silentSession} {
 		if old != nil {
 			old.replace()
 		}
 	}
-	l.current, l.silent = s, nil
-	if l.renewUp {
-		l.renewUp = false
-		l.renewLater()
+	l.current, l.silentSession = s, nil
+	if l.renewNext {
+		l.renewNext = false
+		l.scheduleRenewal()
 	}
 	l.group.Go(func() error {
 		s.read()
@@ -269,22 +273,22 @@
 	return s, nil
 }
 
-// flush writes the releases that wait for a connection, before any set-up goes out on
-// it: that may be of the same call. So it does with those that a silent connection may
-// have swallowed.
+// flush writes the pending releases to a new connection, before any set-up is sent on it,
+// which may be of the same call. It also writes those that a silent current connection may
+// have lost.
 func (l *Link) flush(conn Conn) error {
 	l.mu.Lock()
 	pending := l.pending
 	l.pending = nil
 	if l.current != nil {
-		pending = append(pending, l.current.unproven...)
-		l.current.unproven = nil
+		pending = append(pending, l.current.unconfirmed...)
+		l.current.unconfirmed = nil
 	}
 	now := time.Now()
-	maps.DeleteFunc(l.released, func(_ uint64, at time.Time) bool { return now.Sub(at) >= l.times.ReleaseBackoff })
+	maps.DeleteFunc(l.lateReleases, func(_ uint64, at time.Time) bool { return now.Sub(at) >= l.timeouts.ReleaseBackoff })
 	for _, r := range pending {
-		if now.Sub(r.since) > promptRelease && len(l.released) < maxPending {
-			l.released[r.id] = now
+		if now.Sub(r.endedAt) > maxPromptDelay && len(l.lateReleases) < maxPendingReleases {
+			l.lateReleases[r.id] = now
 		}
 	}
 	l.mu.Unlock()
@@ -294,71 +298,71 @@
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			for _, r := range pending[i:] {
-				l.keepPending(r)
+				l.addPending(r)
 			}
-			return fmt.Errorf("connection broke at once: %w", err)
+			return fmt.Errorf("connection broke while pending releases were sent: %w", err)
 		}
 	}
 	return nil
 }
 
-// dialled notes how a dial went: evidence of the switch's life, or of its lack.
-func (l *Link) dialled(err error) {
+// recordDial records the result of a dial, as evidence for or against the switch being alive.
+func (l *Link) recordDial(err error) {
 	if l.ctx.Err() != nil {
 		return // this side ended the dial
 	}
-	l.count.Dials.WithLabelValues(dialResult(err)).Inc()
+	l.counters.Dials.WithLabelValues(dialLabel(err)).Inc()
 	l.mu.Lock()
 	failedBefore := l.lastDial.err != nil
 	l.lastDial.at, l.lastDial.err = time.Now(), err
-	if err != nil && !failedBefore { // the first of a series; the others are counted
-		l.log.Warn("no connection to a switch", "error", err, "standing", len(l.standing))
+	if err != nil && !failedBefore { // only the first of a series is logged; all are counted
+		l.log.Warn("connecting to switch failed", "error", err, "standing", len(l.established))
 	}
 	l.mu.Unlock()
-	l.verified(err)
+	l.recordProbe(err)
 }
 
-// verified tells the detector how a verification went.
-func (l *Link) verified(err error) {
+// recordProbe passes the result of a probe to the detector.
+func (l *Link) recordProbe(err error) {
 	l.mu.Lock()
-	var v liveness.Decision
+	var d liveness.Decision
 	current := l.current
 	now := time.Now()
 	switch {
 	case err == nil:
-		v = l.detector.Connected(now)
+		d = l.detector.Connected(now)
 	case isRefused(err):
-		v = l.detector.ConnectionRefused(now, current != nil)
-		if v.State == liveness.ProcessGone {
-			l.pending = nil // nobody is left to be told
+		d = l.detector.ConnectionRefused(now, current != nil)
+		if d.State == liveness.ProcessGone {
+			l.pending = nil // the process that held these calls has exited
 		}
 	case isUnanswered(err):
 		l.detector.ProbeFailed()
-		v = l.detector.Check(now)
+		d = l.detector.Check(now)
 		if current == nil {
-			l.renewLater() // it may come up late, and carry something
+			l.scheduleRenewal() // the connection may come up late, and messages on it be lost
 		}
 	default:
 		l.mu.Unlock()
-		return // this machine's trouble says nothing of the switch
+		return // an error of the local machine is no evidence about the switch
 	}
-	standing := l.anyStanding()
-	missing := l.detector.ProbeFailing() || v.CallsEnded
-	l.carryOut(v, err, now)
+	call := l.anyEstablished()
+	missing := l.detector.ProbeFailing() || d.CallsEnded
+	l.apply(d, err, now)
 	if missing {
-		l.up.EvidenceMissing()
+		l.handler.EvidenceMissing()
 	}
-	if isRefused(err) && current != nil && standing != 0 {
-		// It drains, or its process ended while it was cut off, and the reset was lost:
-		// a message that means nothing brings another.
-		_ = current.write(nil, func() error { return current.conn.AcknowledgeRelease(standing) })
+	if isRefused(err) && current != nil && call != 0 {
+		// The switch drains, or its process exited during a network outage and the reset was
+		// lost. A message without effect provokes another reset.
+		_ = current.write(nil, func() error { return current.conn.AcknowledgeRelease(call) })
 	}
 }
 
-// pinged tells the detector how a ping went.
-func (l *Link) pinged(err error) {
+// recordPing passes the result of a ping to the detector.
+func (l *Link) recordPing(err error) {
 	if err != nil {
-		l.verified(err)
+		l.recordProbe(err)
 		return
 	}
 	l.mu.Lock()
@@ -366,24 +370,24 @@
 	l.received()
 }
 
-// anyStanding returns a call that stands, or 0. The lock is held.
-func (l *Link) anyStanding() uint64 {
-	for id := range l.standing {
+// anyEstablished returns the id of an established call, or 0. The lock is held.
+func (l *Link) anyEstablished() uint64 {
+	for id := range l.established {
 		return id
 	}
 	return 0
 }
 
-// received notes that the switch said something. The lock is held.
+// received records that the switch sent something. The lock is held.
 func (l *Link) received() {
 	if l.detector.Received(time.Now()) {
-		l.renewLater() // what it said meanwhile may have gone to connections that are closed here
+		l.scheduleRenewal() // messages sent meanwhile may have gone to connections closed on this side
 	}
-	l.verify = false
-	l.enter(liveness.Alive)
+	l.probe = false
+	l.setState(liveness.Alive)
 }
 
-// check asks the detector when its time has come.
+// check runs the detector's check when it is due.
 func (l *Link) check() {
 	l.mu.Lock()
 	if l.closed {
@@ -391,327 +395,330 @@
 		return
 	}
 	now := time.Now()
-	l.carryOut(l.detector.Check(now), nil, now)
+	l.apply(l.detector.Check(now), nil, now)
 }
 
-// carryOut does what a verdict says; the calls that it may say are over are those from
-// before a time. It takes over the lock and lets it go.
-func (l *Link) carryOut(v liveness.Decision, cause error, before time.Time) {
-	if !v.EstablishedBefore.IsZero() {
-		before = v.EstablishedBefore
+// apply carries out a decision of the detector. If the decision ends calls, they are those
+// established before the given time, unless it names an earlier one. The lock is held on
+// entry; apply releases it.
+func (l *Link) apply(d liveness.Decision, cause error, before time.Time) {
+	if !d.EstablishedBefore.IsZero() {
+		before = d.EstablishedBefore
 	}
-	l.enter(v.State)
-	l.verify = v.Probe
-	if !v.NextCheck.IsZero() {
-		l.watch.Reset(time.Until(v.NextCheck))
+	l.setState(d.State)
+	l.probe = d.Probe
+	if !d.NextCheck.IsZero() {
+		l.checkTimer.Reset(time.Until(d.NextCheck))
 	}
-	if v.CallsEnded {
-		l.callsOver(v.State, cause, before)
+	if d.CallsEnded {
+		l.forgetCalls(d.State, cause, before)
 	}
 	l.mu.Unlock()
-	if v.CallsEnded {
-		why := core.EndProcessGone
-		if v.State == liveness.Unreachable {
-			why = core.EndUnreachable
+	if d.CallsEnded {
+		reason := core.EndProcessGone
+		if d.State == liveness.Unreachable {
+			reason = core.EndUnreachable
 		}
-		l.up.CallsOver(why, before)
+		l.handler.CallsOver(reason, before)
 	}
-	l.wakeKeeper()
+	l.wakeMaintain()
 }
 
-// callsOver forgets the calls from before a time. The lock is held.
-func (l *Link) callsOver(state liveness.State, cause error, before time.Time) {
-	had := len(l.standing)
-	maps.DeleteFunc(l.standing, func(_ uint64, since time.Time) bool { return since.Before(before) })
-	l.detector.SetEstablished(len(l.standing))
-	l.log.Warn("calls that stand at a switch are over", "state", state.String(), "calls", had-len(l.standing), "error", cause)
+// forgetCalls removes the calls established before the given time. The lock is held.
+func (l *Link) forgetCalls(state liveness.State, cause error, before time.Time) {
+	total := len(l.established)
+	maps.DeleteFunc(l.established, func(_ uint64, since time.Time) bool { return since.Before(before) })
+	l.detector.SetEstablished(len(l.established))
+	l.log.Warn("established calls declared ended by liveness detection", "state", state.String(), "calls", total-len(l.established), "error", cause)
 	if state != liveness.Unreachable {
 		return
 	}
-	// What is written on these is lost.
-	for _, s := range []*session{l.current, l.silent} {
+	// Anything written to these sessions would be lost.
+	for _, s := range []*session{l.current, l.silentSession} {
 		if s != nil {
-			s.end(metrics.CloseSilent)
+			s.close(metrics.CloseSilent)
 		}
 	}
 }
 
-// enter logs and counts a state that is new. The lock is held.
-func (l *Link) enter(s liveness.State) {
+// setState logs and counts a change of the switch's state. The lock is held.
+func (l *Link) setState(s liveness.State) {
 	if s == l.state {
 		return
 	}
 	l.state = s
-	l.count.SwitchStates.WithLabelValues(s.String()).Inc()
-	l.log.Info("state of a switch", "state", s.String(), "standing", len(l.standing))
+	l.counters.SwitchStates.WithLabelValues(s.String()).Inc()
+	l.log.Info("switch state changed", "state", s.String(), "standing", len(l.established))
 }
 
-// stands notes that a call stands at the switch, or does not any more. The lock is held.
-func (l *Link) stands(id uint64, yes bool) {
-	before := len(l.standing)
-	if _, already := l.standing[id]; yes && !already {
-		l.standing[id] = time.Now()
-	} else if !yes {
-		delete(l.standing, id)
+// setEstablished records that a call is established at the switch, or no longer is. The
+// lock is held.
+func (l *Link) setEstablished(id uint64, established bool) {
+	before := len(l.established)
+	if _, known := l.established[id]; established && !known {
+		l.established[id] = time.Now()
+	} else if !established {
+		delete(l.established, id)
 	}
-	if len(l.standing) == before {
+	if len(l.established) == before {
 		return
 	}
-	l.detector.SetEstablished(len(l.standing))
+	l.detector.SetEstablished(len(l.established))
 	if before == 0 {
-		if v := l.detector.Check(time.Now()); !v.NextCheck.IsZero() {
-			l.watch.Reset(time.Until(v.NextCheck))
+		if d := l.detector.Check(time.Now()); !d.NextCheck.IsZero() {
+			l.checkTimer.Reset(time.Until(d.NextCheck))
 		}
 	}
 }
 
-// answered passes an answer on. The call counts as standing before: it may be hung up
-// at once.
+// answered passes an answer on. The call is recorded as established first, because it may
+// be hung up at once.
 func (l *Link) answered(s *session, id uint64, description []byte) core.Verdict {
 	l.mu.Lock()
-	s.answered(id)
-	_, before := l.standing[id]
-	l.stands(id, true)
+	s.setUpDone(id)
+	_, before := l.established[id]
+	l.setEstablished(id, true)
 	l.mu.Unlock()
-	verdict := l.up.Answered(id, description)
+	verdict := l.handler.Answered(id, description)
 	if !before && (verdict == core.Unknown || verdict == core.Late) {
 		l.mu.Lock()
-		l.stands(id, false)
+		l.setEstablished(id, false)
 		l.mu.Unlock()
 	}
 	return verdict
 }
 
-// over notes that the switch ended a set-up or a call.
-func (l *Link) over(s *session, id uint64) {
+// callEnded records that the switch ended a set-up or a call.
+func (l *Link) callEnded(s *session, id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.answered(id)
-	l.stands(id, false)
+	s.setUpDone(id)
+	l.setEstablished(id, false)
 }
 
-// ended takes a session out that has ended, and returns the set-ups that were open on it.
-func (l *Link) ended(s *session, err error) (open []uint64) {
+// sessionEnded removes a session that has ended, and returns its outstanding set-ups.
+func (l *Link) sessionEnded(s *session, err error) (outstanding []uint64) {
 	l.mu.Lock()
 	s.logEnd(err)
 	delete(l.sessions, s)
-	wasSilent := l.silent == s
+	wasSilent := l.silentSession == s
 	if wasSilent {
-		l.silent = nil
+		l.silentSession = nil
 	}
-	open, releases := l.detach(s)
+	outstanding, releases := l.detach(s)
 	if !s.replaced {
-		l.renewLater()
+		l.scheduleRenewal()
 	}
 	switch reset := errors.Is(err, syscall.ECONNRESET); {
-	case reset && s.challenged:
-		l.carryOut(l.detector.ReplacedConnectionReset(time.Now()), err, s.replacedAt)
+	case reset && s.silentWhenReplaced:
+		l.apply(l.detector.ReplacedConnectionReset(time.Now()), err, s.replacedAt)
 	case reset && !s.replaced:
 		now := time.Now()
-		l.carryOut(l.detector.ConnectionReset(now, wasSilent), err, now)
+		l.apply(l.detector.ConnectionReset(now, wasSilent), err, now)
 	default:
 		l.mu.Unlock()
 	}
 	l.releaseAll(releases)
-	return open
+	return outstanding
 }
 
-// mayHaveCalls says whether releases may come from the switch: calls stand there, or may do
-// so since before this proxy started. The lock is held.
+// mayHaveCalls reports whether the switch may still send releases: calls are established
+// there, or may be since before this proxy started. The lock is held.
 func (l *Link) mayHaveCalls() bool {
-	return len(l.standing) > 0 || time.Since(l.made) < formerCalls
+	return len(l.established) > 0 || time.Since(l.created) < formerCallsPeriod
 }
 
-// renewLater opens another connection some time after the present one, or the next one that
-// comes up. The lock is held.
-func (l *Link) renewLater() {
+// scheduleRenewal replaces the current connection after renewalDelay, or without one the
+// next connection that comes up, the same time after that. The lock is held.
+func (l *Link) scheduleRenewal() {
 	switch {
 	case !l.mayHaveCalls():
 	case l.current == nil:
-		l.renewUp = true
+		l.renewNext = true
 	default:
-		time.AfterFunc(renewAfter, l.renewConnection)
+		time.AfterFunc(renewalDelay, l.renewConnection)
 	}
 }
 
-// renewConnection opens another connection in the place of the present one.
+// renewConnection opens another connection that replaces the current one.
 func (l *Link) renewConnection() {
 	l.mu.Lock()
 	l.renew = !l.closed && l.mayHaveCalls()
 	l.mu.Unlock()
-	l.wakeKeeper()
+	l.wakeMaintain()
 }
 
-// detach takes everything off a session that takes nothing more: the set-ups that are
-// open on it, and the releases that the switch is to be sent on another. The lock is held.
-func (l *Link) detach(s *session) (open []uint64, releases []pendingRelease) {
-	s.waiting = false
-	s.silence.Stop()
+// detach takes a session out of use. It returns the session's outstanding set-ups, and the
+// releases that the switch must be sent on another session. The lock is held.
+func (l *Link) detach(s *session) (outstanding []uint64, releases []pendingRelease) {
+	s.timerRunning = false
+	s.silenceTimer.Stop()
 	if l.current == s {
 		l.current = nil
 	}
 	now := time.Now()
-	for id := range s.open {
-		open = append(open, id)
+	for id := range s.outstanding {
+		outstanding = append(outstanding, id)
 		releases = append(releases, pendingRelease{id, now})
 	}
-	releases = append(releases, s.unproven...)
-	s.open, s.unproven = map[uint64]bool{}, nil
-	return open, releases
+	releases = append(releases, s.unconfirmed...)
+	s.outstanding, s.unconfirmed = map[uint64]bool{}, nil
+	return outstanding, releases
 }
 
-// releaseAll tells the switch that calls are over: on the session that took another one's
-// place, or first thing on the next.
+// releaseAll sends releases on the current session, or first on the next one.
 func (l *Link) releaseAll(releases []pendingRelease) {
 	for _, r := range releases {
 		l.release(r)
 	}
 }
 
-// SetUp implements core.Link. It sends on a new connection if there is none.
-func (l *Link) SetUp(ctx context.Context, u *core.SetUp, until time.Time, mayGo func() bool) error {
+// SetUp implements core.Link. It dials if there is no connection.
+func (l *Link) SetUp(ctx context.Context, u *core.SetUp, deadline time.Time, mayGo func() bool) error {
 	if _, err := l.connect(ctx); err != nil {
 		return fmt.Errorf("%w: %w", core.ErrNotReached, err)
 	}
 	l.mu.Lock()
 	s := l.current
 	if s != nil {
-		s.open[u.ID] = true // before the write: the answer may be quick
+		s.outstanding[u.ID] = true // before the write: the answer may arrive at once
 	}
-	rests := s != nil && l.restsAfterRelease(s, u.ID)
-	if rests {
-		delete(s.open, u.ID)
+	backoff := s != nil && l.inReleaseBackoff(s, u.ID)
+	if backoff {
+		delete(s.outstanding, u.ID)
 	}
 	l.mu.Unlock()
 	switch {
 	case s == nil:
-		return core.ErrNotReached // it ended a moment ago
-	case rests:
-		l.Release(u.ID) // again: the one before may be lost
-		return fmt.Errorf("%w: its last attempt there was released a moment ago", core.ErrNotSent)
+		return core.ErrNotReached // the session has just ended
+	case backoff:
+		l.Release(u.ID) // again, as the earlier release may be lost
+		return fmt.Errorf("%w: the release of the call's previous attempt at this switch is too recent", core.ErrNotSent)
 	}
-	err := s.write(mayGo, func() error { return s.conn.SetUp(u, until) })
+	err := s.write(mayGo, func() error { return s.conn.SetUp(u, deadline) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		s.answered(u.ID)
-	case s.open[u.ID]:
-		s.sent()
+		s.setUpDone(u.ID)
+	case s.outstanding[u.ID]:
+		s.setUpSent()
 	}
 	return err
 }
 
-// restsAfterRelease says whether a call's earlier attempt there may have lasted until a
-// moment ago: its release is not sent yet, may be lost, or went out late. Such a release is
-// dropped here, as sent later it would end the new attempt. The lock is held.
-func (l *Link) restsAfterRelease(on *session, id uint64) bool {
+// inReleaseBackoff reports whether a call's earlier attempt at the switch may have lasted
+// until less than Timeouts.ReleaseBackoff ago: its release is not sent yet, may be lost, or
+// was sent late. A release that is not sent or may be lost is dropped here, because sent
+// later it would end the new attempt. The lock is held.
+func (l *Link) inReleaseBackoff(current *session, id uint64) bool {
 	drop := func(releases []pendingRelease) []pendingRelease {
 		return slices.DeleteFunc(releases, func(r pendingRelease) bool { return r.id == id })
 	}
-	had := len(l.pending)
+	count := len(l.pending)
 	l.pending = drop(l.pending)
-	lost := len(l.pending) < had
+	lost := len(l.pending) < count
 	for s := range l.sessions {
-		had := len(s.unproven)
-		s.unproven = drop(s.unproven)
-		lost = lost || s != on && len(s.unproven) < had
+		count := len(s.unconfirmed)
+		s.unconfirmed = drop(s.unconfirmed)
+		lost = lost || s != current && len(s.unconfirmed) < count
 	}
 	now := time.Now()
 	if lost {
-		l.released[id] = now
+		l.lateReleases[id] = now
 	}
-	at, late := l.released[id]
-	return late && now.Sub(at) < l.times.ReleaseBackoff
+	at, late := l.lateReleases[id]
+	return late && now.Sub(at) < l.timeouts.ReleaseBackoff
 }
 
-// GiveUp tells the switch that a set-up is given up.
+// GiveUp tells the switch that a set-up is abandoned.
 func (l *Link) GiveUp(id uint64) { l.Release(id) }
 
-// Release tells the switch that a call is over: now, or without a connection,
-// first thing on the next one. Past maxPending the switch is told when it speaks
-// of the call again.
+// Release tells the switch that a call has ended. Without a connection the release is sent
+// first on the next one. If maxPendingReleases are already waiting, it is dropped, and the
+// switch is told when it next sends a message about the call.
 func (l *Link) Release(id uint64) { l.release(pendingRelease{id, time.Now()}) }
 
-// release sends a release, or keeps it. A set-up is given up where it was sent.
+// release sends a release or keeps it as pending. The release of an outstanding set-up goes
+// to the session on which the set-up was sent.
 func (l *Link) release(r pendingRelease) {
 	l.mu.Lock()
-	on := l.current
+	target := l.current
 	for s := range l.sessions {
-		if s.open[r.id] {
-			on = s
+		if s.outstanding[r.id] {
+			target = s
 		}
 	}
-	l.stands(r.id, false)
+	l.setEstablished(r.id, false)
 	switch {
-	case on == nil:
-		l.keepPending(r)
-	case len(on.unproven) < maxUnproven:
-		on.unproven = append(on.unproven, r)
+	case target == nil:
+		l.addPending(r)
+	case len(target.unconfirmed) < maxUnconfirmed:
+		target.unconfirmed = append(target.unconfirmed, r)
 	}
 	l.mu.Unlock()
-	if on == nil {
+	if target == nil {
 		return
 	}
-	if err := on.write(nil, func() error { return on.conn.Release(r.id) }); err != nil {
+	if err := target.write(nil, func() error { return target.conn.Release(r.id) }); err != nil {
 		l.log.Debug("release not sent", "call", callName(r.id), "error", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	on.answered(r.id) // only now: a replaced session is closed with its last set-up
+	target.setUpDone(r.id) // after the write: a replaced session is closed with its last set-up
 }
 
-// keepPending keeps a release for the next connection. The lock is held.
-func (l *Link) keepPending(r pendingRelease) {
-	if len(l.pending) < maxPending {
+// addPending keeps a release for the next connection. The lock is held.
+func (l *Link) addPending(r pendingRelease) {
+	if len(l.pending) < maxPendingReleases {
 		l.pending = append(l.pending, r)
 	}
 }
 
-// Caution makes the link verify its switch sooner until some time.
+// Caution makes the link probe a silent switch sooner until the given time.
 func (l *Link) Caution(until time.Time) {
 	l.mu.Lock()
 	l.detector.ProbeEarlyUntil(until)
-	if l.closed || len(l.standing) == 0 {
+	if l.closed || len(l.established) == 0 {
 		l.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	l.carryOut(l.detector.Check(now), nil, now)
+	l.apply(l.detector.Check(now), nil, now)
 }
 
-// Unproven says whether calls stand there that may be over: nothing was heard of the
-// switch for some time, and a verification failed.
+// Unproven reports whether calls established at the switch may have ended: the switch has
+// been silent for some time, and a probe failed.
 func (l *Link) Unproven() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.detector.ProbeFailing()
 }
 
-// SetDraining says whether the switch drains by the list.
-func (l *Link) SetDraining(yes bool) {
+// SetDraining sets whether the switch drains according to the list.
+func (l *Link) SetDraining(draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.detector.SetDraining(yes)
+	l.detector.SetDraining(draining)
 }
 
-// Leave says that the switch has gone by the list. Nothing is dialled any more: another
-// switch may have its address.
+// Leave records that the switch is no longer listed. The link then stops dialing, because
+// another switch may take the address.
 func (l *Link) Leave() {
 	l.mu.Lock()
-	l.leaving = true
+	l.removed = true
 	l.mu.Unlock()
-	l.wakeKeeper()
+	l.wakeMaintain()
 }
 
 // Close ends the link and waits for its goroutines.
 func (l *Link) Close() {
-	l.stop()
+	l.cancel()
 	l.mu.Lock()
 	l.closed = true
-	l.watch.Stop()
+	l.checkTimer.Stop()
 	for s := range l.sessions {
-		s.end(metrics.CloseRemoved)
+		s.close(metrics.CloseRemoved)
 	}
 	l.mu.Unlock()
 	_ = l.group.Wait()
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -18,18 +18,19 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// pipe is a connection whose other side the test plays: what it says, and how it ends.
+// pipe is a connection whose other side is controlled by the test: the events it sends, and
+// how it ends.
 type pipe struct {
-	events chan Event
-	ended  chan error // has the error that ends it
-	writes chan string
-	once   sync.Once
-	half   chan struct{} // closed once this side writes no more
-	shut   sync.Once
+	events      chan Event
+	ended       chan error // holds the error that ends the connection
+	writes      chan string
+	endOnce     sync.Once
+	writeClosed chan struct{} // closed by CloseWrite
+	closeWrite  sync.Once
 }
 
 func newPipe() *pipe {
-	return &pipe{events: make(chan Event, 8), ended: make(chan error, 1), writes: make(chan string, 64), half: make(chan struct{})}
+	return &pipe{events: make(chan Event, 8), ended: make(chan error, 1), writes: make(chan string, 64), writeClosed: make(chan struct{})}
 }
 
 func (p *pipe) Read() (Event, error) {
@@ -40,93 +41,94 @@
 		return Event{}, err
 	}
 }
-func (p *pipe) SetUp(u *core.SetUp, _ time.Time) error { return p.note("set up ", u.ID) }
-func (p *pipe) Release(id uint64) error                { return p.note("release ", id) }
-func (p *pipe) AcknowledgeRelease(id uint64) error     { return p.note("acknowledge ", id) }
-func (p *pipe) ReplyToTest(id uint64) error            { return p.note("passed ", id) }
+func (p *pipe) SetUp(u *core.SetUp, _ time.Time) error { return p.record("set up ", u.ID) }
+func (p *pipe) Release(id uint64) error                { return p.record("release ", id) }
+func (p *pipe) AcknowledgeRelease(id uint64) error     { return p.record("acknowledge ", id) }
+func (p *pipe) ReplyToTest(id uint64) error            { return p.record("test reply ", id) }
 func (p *pipe) Close() error {
 	p.end(io.EOF)
 	return nil
 }
 func (p *pipe) CloseWrite() error {
-	p.shut.Do(func() { close(p.half) })
+	p.closeWrite.Do(func() { close(p.writeClosed) })
 	return nil
 }
-func (p *pipe) end(err error) { p.once.Do(func() { p.ended <- err }) }
-func (p *pipe) note(what string, id uint64) error {
-	p.writes <- what + callName(id)
+func (p *pipe) end(err error) { p.endOnce.Do(func() { p.ended <- err }) }
+func (p *pipe) record(message string, id uint64) error {
+	p.writes <- message + callName(id)
 	return nil
 }
 
-// listener notes what a link tells of its switch.
-type listener struct {
-	over chan string
+// endRecorder is a Handler that records the reason when calls are declared ended.
+type endRecorder struct {
+	ended chan string
 }
 
-func (l listener) Answered(uint64, []byte) core.Verdict { return core.Taken }
-func (l listener) Ended(id uint64, e core.End)          {}
-func (l listener) Group(routing.Report)                 {}
-func (l listener) EvidenceMissing()                     {}
-func (l listener) CallsOver(why core.EndReason, _ time.Time) {
-	l.over <- why.String()
+func (r endRecorder) Answered(uint64, []byte) core.Verdict { return core.Taken }
+func (r endRecorder) Ended(id uint64, e core.End)          {}
+func (r endRecorder) Group(routing.Report)                 {}
+func (r endRecorder) EvidenceMissing()                     {}
+func (r endRecorder) CallsOver(reason core.EndReason, _ time.Time) {
+	r.ended <- reason.String()
 }
 
-var errNotUp = context.DeadlineExceeded // what a dial that does not come up ends with
+var errDialTimeout = context.DeadlineExceeded // the error of a dial that gets no answer
 
-// A call stands at a switch, and then the switch does what a step says to each dial. What
-// the link concludes, and when, counted from the call's answer.
-func TestWhatBecomesOfStandingCalls(t *testing.T) {
+// A call is established at a switch, which then treats its connections and each dial as the
+// case says. Checks whether and when, counted from the call's answer, the link declares the
+// call ended.
+func TestWhatBecomesOfEstablishedCalls(t *testing.T) {
 	for name, tc := range map[string]struct {
-		// dial is what the n-th dial after the first connection comes to.
+		// dial returns the error of the n-th dial after the first connection; nil: it succeeds.
 		dial func(n int) error
-		// first is what happens to the first connection, a second after the answer.
-		first func(p *pipe)
-		// afterHalf is how the first connection ends once this side has closed its half.
-		afterHalf error
-		over      string        // the reason, or "" if the calls still stand after 20 s
-		by        time.Duration // ... at this time at the latest
+		// onFirst acts on the first connection one second after the answer.
+		onFirst func(p *pipe)
+		// endAfterCloseWrite ends the first connection once this side has called CloseWrite.
+		endAfterCloseWrite error
+		reason             string        // of the end, or "" if the call is still established after 20 s
+		maxDelay           time.Duration // from the answer to the end
 	}{
-		"it vanishes: silent, and no dial comes up": {
-			dial: func(int) error { return errNotUp },
-			over: "switch_unreachable", by: 7600 * time.Millisecond},
-		"it is cut off for a while": {
-			dial:      func(n int) error { return map[bool]error{true: errNotUp}[n < 3] },
-			afterHalf: io.EOF},
-		"it vanishes, and another takes its address": {
-			dial:      func(n int) error { return map[bool]error{true: errNotUp}[n < 3] },
-			afterHalf: syscall.ECONNRESET,
-			over:      "switch_process_gone", by: 7600 * time.Millisecond},
-		"it is replaced before anybody asks": {
-			dial:      func(int) error { return nil },
-			afterHalf: syscall.ECONNRESET,
-			over:      "switch_process_gone", by: 5 * time.Second},
-		"its process ends": {
-			dial:  func(int) error { return syscall.ECONNREFUSED },
-			first: func(p *pipe) { p.end(syscall.ECONNRESET) },
-			over:  "switch_process_gone", by: 1500 * time.Millisecond},
-		"its connection is reset, and another comes up": {
-			dial:      func(int) error { return nil },
-			first:     func(p *pipe) { p.end(syscall.ECONNRESET) },
-			afterHalf: io.EOF},
-		"it drains: it takes no new connection and keeps the old one": {
+		"vanishes: silent, and every dial times out": {
+			dial:   func(int) error { return errDialTimeout },
+			reason: "switch_unreachable", maxDelay: 7600 * time.Millisecond},
+		"a temporary network outage": {
+			dial:               func(n int) error { return map[bool]error{true: errDialTimeout}[n < 3] },
+			endAfterCloseWrite: io.EOF},
+		"vanishes, and another switch takes its address": {
+			dial:               func(n int) error { return map[bool]error{true: errDialTimeout}[n < 3] },
+			endAfterCloseWrite: syscall.ECONNRESET,
+			reason:             "switch_process_gone", maxDelay: 7600 * time.Millisecond},
+		"replaced by another switch before the first probe": {
+			dial:               func(int) error { return nil },
+			endAfterCloseWrite: syscall.ECONNRESET,
+			reason:             "switch_process_gone", maxDelay: 5 * time.Second},
+		"its process exits": {
+			dial:    func(int) error { return syscall.ECONNREFUSED },
+			onFirst: func(p *pipe) { p.end(syscall.ECONNRESET) },
+			reason:  "switch_process_gone", maxDelay: 1500 * time.Millisecond},
+		"its connection is reset, and the next dial succeeds": {
+			dial:               func(int) error { return nil },
+			onFirst:            func(p *pipe) { p.end(syscall.ECONNRESET) },
+			endAfterCloseWrite: io.EOF},
+		"drains: refuses new connections and keeps the old one": {
 			dial: func(int) error { return syscall.ECONNREFUSED }},
-		"this machine has no descriptors": {
+		"the local machine has no file descriptors left": {
 			dial: func(int) error { return syscall.EMFILE }},
-		"it is idle": {
-			dial:      func(int) error { return nil },
-			afterHalf: io.EOF},
+		"idle": {
+			dial:               func(int) error { return nil },
+			endAfterCloseWrite: io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				conns := make(chan *pipe, 64)
 				dials := -1
-				up := listener{over: make(chan string, 8)}
-				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, up, Timeouts{Dial: 500 * time.Millisecond, Silence: time.Second, ReleaseBackoff: 500 * time.Millisecond},
+				handler := endRecorder{ended: make(chan string, 8)}
+				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, handler, Timeouts{Dial: 500 * time.Millisecond, Silence: time.Second, ReleaseBackoff: 500 * time.Millisecond},
 					slog.New(slog.DiscardHandler), metrics.New(), func(ctx context.Context, _ string) (Conn, error) {
 						n := dials
 						dials++
 						if n >= 0 {
-							if err := tc.dial(n); errors.Is(err, errNotUp) {
+							if err := tc.dial(n); errors.Is(err, errDialTimeout) {
 								<-ctx.Done()
 								return nil, ctx.Err()
 							} else if err != nil {
@@ -135,8 +137,8 @@
 						}
 						p := newPipe()
 						if n >= 0 {
-							go func() { // a living process closes what it is told is closed
-								<-p.half
+							go func() { // a living process closes its side after CloseWrite
+								<-p.writeClosed
 								p.end(io.EOF)
 							}()
 						}
@@ -144,27 +146,27 @@
 						return p, nil
 					})
 				first := <-conns
-				if tc.afterHalf != nil {
+				if tc.endAfterCloseWrite != nil {
 					go func() {
-						<-first.half
-						first.end(tc.afterHalf)
+						<-first.writeClosed
+						first.end(tc.endAfterCloseWrite)
 					}()
 				}
 				first.events <- Event{Kind: Answer, Call: 0xa1}
 				synctest.Wait()
 				start := time.Now()
-				if tc.first != nil {
+				if tc.onFirst != nil {
 					time.Sleep(time.Second)
-					tc.first(first)
+					tc.onFirst(first)
 				}
-				got, after := "", time.Duration(0)
+				got, delay := "", time.Duration(0)
 				select {
-				case got = <-up.over:
-					after = time.Since(start)
+				case got = <-handler.ended:
+					delay = time.Since(start)
 				case <-time.After(20 * time.Second):
 				}
-				if diff := cmp.Diff(tc.over, got); diff != "" || after > tc.by {
-					t.Errorf("after %v, by %v (-want +got):\n%s", after, tc.by, diff)
+				if diff := cmp.Diff(tc.reason, got); diff != "" || delay > tc.maxDelay {
+					t.Errorf("ended after %v, want at most %v (-want +got):\n%s", delay, tc.maxDelay, diff)
 				}
 				l.Close()
 				first.CloseWrite()
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -14,148 +14,149 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// replacedFor is how long a connection that another has replaced is read on for what the
-// switch had said by then.
-const replacedFor = 3 * time.Second
+// replacedReadPeriod is how long a replaced connection is read for what the switch had sent
+// by then.
+const replacedReadPeriod = 3 * time.Second
 
-// challengeAfter is how long a connection must have been silent for a reset of it to say
-// something of the switch: one in use is reset by faults of the network.
-const challengeAfter = time.Second
+// minSilentPeriod is how long a connection must have been silent for its reset to be
+// evidence about the switch: a connection in use is also reset by network faults.
+const minSilentPeriod = time.Second
 
-// maxUnproven bounds the releases that are kept until something is received after them.
-const maxUnproven = 1024
+// maxUnconfirmed limits the releases that are kept until something is received after them.
+const maxUnconfirmed = 1024
 
 // session is one connection of a link, from the dial to its end.
 type session struct {
 	link    *Link
 	conn    Conn
-	writing sync.Mutex // one message at a time
-
-	// Under the link's lock:
-	open       map[uint64]bool  // set-ups out on it that have no answer
-	unproven   []pendingRelease // releases written since something was received: they may be lost
-	silence    *time.Timer      // ends the session; runs while a set-up waits for any word
-	waiting    bool             // the timer runs
-	heard      time.Time        // when something was received last, or it came up
-	replaced   bool             // another session takes the set-ups
-	replacedAt time.Time        // ... since then
-	challenged bool             // it was silent by then: a reset in answer to its close tells of another peer
-	why        string           // metrics label of its end, where this side ended it
+	writing sync.Mutex // held while a message is written
+
+	// Guarded by the link's lock:
+	outstanding        map[uint64]bool  // set-ups sent on the connection that are not answered
+	unconfirmed        []pendingRelease // releases written since something was last received: they may be lost
+	silenceTimer       *time.Timer      // takes the session out of use; runs while a set-up waits for any message
+	timerRunning       bool
+	lastReceived       time.Time // when something was last received, or the connection came up
+	replaced           bool      // another session takes the set-ups
+	replacedAt         time.Time
+	silentWhenReplaced bool   // a reset in answer to its close then shows that another peer has the address
+	closeReason        string // metrics label of its end, if this side ended it
 }
 
 func newSession(l *Link, conn Conn) *session {
-	s := &session{link: l, conn: conn, open: map[uint64]bool{}, heard: time.Now()}
-	s.silence = time.AfterFunc(time.Hour, s.silent)
-	s.silence.Stop()
+	s := &session{link: l, conn: conn, outstanding: map[uint64]bool{}, lastReceived: time.Now()}
+	s.silenceTimer = time.AfterFunc(time.Hour, s.silenceExpired)
+	s.silenceTimer.Stop()
 	return s
 }
 
-// end closes the connection; its reader does the rest. The first reason counts. The
-// link's lock is held.
-func (s *session) end(why string) {
-	if s.why == "" {
-		s.why = why
+// close closes the connection; its reader then ends the session. The first reason is the
+// one recorded. The link's lock is held.
+func (s *session) close(reason string) {
+	if s.closeReason == "" {
+		s.closeReason = reason
 	}
 	s.conn.Close()
 }
 
-// silent takes a session out of use on which a set-up went out and nothing at all came
-// since: the connection was forgotten on its way, or the switch can't be reached.
-func (s *session) silent() {
+// silenceExpired takes a session out of use on which a set-up was sent and nothing at all
+// was received since: the network has lost the connection without a sign, or the
+// switch is unreachable.
+func (s *session) silenceExpired() {
 	s.link.mu.Lock()
-	if !s.waiting {
+	if !s.timerRunning {
 		s.link.mu.Unlock()
 		return
 	}
-	s.retire("connection to a switch is silent")
+	s.markSilent("connection to switch is silent")
 }
 
-// retire takes a silent session out of use. It is kept open beside its successor. The
-// link's lock is held, and let go.
-func (s *session) retire(why string) {
+// markSilent takes a silent session out of use and logs the message. The connection stays
+// open beside its successor. The link's lock is held on entry; markSilent releases it.
+func (s *session) markSilent(message string) {
 	l := s.link
-	l.log.Warn(why, "open", len(s.open), "standing", len(l.standing))
-	open, releases := l.detach(s)
-	out := s
+	l.log.Warn(message, "open", len(s.outstanding), "standing", len(l.established))
+	outstanding, releases := l.detach(s)
+	superseded := s
 	if !s.replaced {
-		out, l.silent = l.silent, s
-		l.renewLater()
+		superseded, l.silentSession = l.silentSession, s
+		l.scheduleRenewal()
 	}
-	if out != nil {
-		out.end(metrics.CloseSilent)
+	if superseded != nil {
+		superseded.close(metrics.CloseSilent)
 	}
 	l.detector.ConnectionSilent()
 	now := time.Now()
-	l.carryOut(l.detector.Check(now), nil, now)
-	// Here too: a set-up is out until it is given up where it was sent, or the connection
-	// is closed, and this one stays open.
-	for _, id := range open {
+	l.apply(l.detector.Check(now), nil, now)
+	// The releases are also written on this connection: a set-up stays in flight until it is
+	// released where it was sent or its connection is closed, and this one stays open.
+	for _, id := range outstanding {
 		_ = s.write(nil, func() error { return s.conn.Release(id) })
 	}
 	l.releaseAll(releases)
-	s.reset(open)
-	l.up.EvidenceMissing()
+	s.reportReset(outstanding)
+	l.handler.EvidenceMissing()
 }
 
-// reset says that set-ups were reset with their connection.
-func (s *session) reset(open []uint64) {
-	for _, id := range open {
-		s.link.up.Ended(id, core.End{Result: routing.Reset})
+// reportReset reports set-ups as reset with their connection.
+func (s *session) reportReset(outstanding []uint64) {
+	for _, id := range outstanding {
+		s.link.handler.Ended(id, core.End{Result: routing.Reset})
 	}
 }
 
-// received notes that something came.
+// received records that a message was received.
 func (s *session) received() {
 	l := s.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.waiting = false
-	s.silence.Stop()
-	s.heard = time.Now()
-	s.unproven = s.unproven[:0]
+	s.timerRunning = false
+	s.silenceTimer.Stop()
+	s.lastReceived = time.Now()
+	s.unconfirmed = s.unconfirmed[:0]
 	l.received()
 }
 
-// sent notes that a set-up went out. The link's lock is held.
-func (s *session) sent() {
-	if !s.waiting {
-		s.waiting = true
-		s.silence.Reset(s.link.times.Silence * time.Duration(s.link.detector.SilenceTimeoutFactor()))
+// setUpSent starts the silence timer after a set-up was sent. The link's lock is held.
+func (s *session) setUpSent() {
+	if !s.timerRunning {
+		s.timerRunning = true
+		s.silenceTimer.Reset(s.link.timeouts.Silence * time.Duration(s.link.detector.SilenceTimeoutFactor()))
 	}
 }
 
-// answered notes that a set-up is open no more. The link's lock is held.
-func (s *session) answered(id uint64) {
-	delete(s.open, id)
-	s.closeReplaced()
+// setUpDone records that a set-up is no longer outstanding. The link's lock is held.
+func (s *session) setUpDone(id uint64) {
+	delete(s.outstanding, id)
+	s.closeIfReplaced()
 }
 
-// replace lets another session take the set-ups. The link's lock is held.
+// replace records that another session takes the set-ups. The link's lock is held.
 func (s *session) replace() {
 	now := time.Now()
 	s.replaced, s.replacedAt = true, now
-	s.challenged = now.Sub(s.heard) >= challengeAfter
-	s.closeReplaced()
+	s.silentWhenReplaced = now.Sub(s.lastReceived) >= minSilentPeriod
+	s.closeIfReplaced()
 }
 
-// closeReplaced ends a replaced session on which no set-up is open: what the switch had
-// said by then is still read. The link's lock is held.
-func (s *session) closeReplaced() {
-	if !s.replaced || len(s.open) > 0 || s.why != "" {
+// closeIfReplaced closes a replaced session without outstanding set-ups. What the switch had
+// sent by then is still read. The link's lock is held.
+func (s *session) closeIfReplaced() {
+	if !s.replaced || len(s.outstanding) > 0 || s.closeReason != "" {
 		return
 	}
-	s.why = metrics.CloseReplaced
+	s.closeReason = metrics.CloseReplaced
 	half, ok := s.conn.(HalfCloser)
 	if !ok || half.CloseWrite() != nil {
 		s.conn.Close()
 		return
 	}
-	time.AfterFunc(replacedFor, func() { s.conn.Close() })
+	time.AfterFunc(replacedReadPeriod, func() { s.conn.Close() })
 }
 
-// read takes in what the switch says until the connection ends. Then the
-// set-ups that were open on it are over. Any of them may have run, and its answer
-// may be what was lost: the switch is told of their end on the next connection.
+// read handles messages from the switch until the connection ends, and then reports the
+// outstanding set-ups as reset. Any of them may have been answered and the answer lost, so
+// the switch is sent their releases on the next connection.
 func (s *session) read() {
 	l := s.link
 	var err error
@@ -166,70 +167,73 @@
 		}
 		s.received()
 		if ev.Warning != nil {
-			l.log.Warn("message of a switch with something unknown", "error", ev.Warning)
+			l.log.Warn("unknown element in message from switch", "error", ev.Warning)
 		}
-		s.take(ev)
+		s.handle(ev)
 	}
 	if drainer, ok := s.conn.(Drainer); ok && errors.Is(err, os.ErrDeadlineExceeded) {
-		// Silent in the middle of a message: how it ends tells who comes up after it.
+		// The switch fell silent in the middle of a message. The session stays open: how it
+		// ends shows whether the next connection reaches the same peer.
 		l.mu.Lock()
-		s.retire("connection to a switch is silent in a message")
+		s.markSilent("connection to switch is silent in the middle of a message")
 		if err = drainer.Drain(); err == nil {
 			err = io.EOF
 		}
 	}
 	s.conn.Close()
-	s.reset(l.ended(s, err))
-	l.wakeKeeper()
+	s.reportReset(l.sessionEnded(s, err))
+	l.wakeMaintain()
 }
 
 // logEnd logs and counts why a session ended. The link's lock is held.
 func (s *session) logEnd(err error) {
 	l := s.link
-	why := s.why
+	reason := s.closeReason
 	switch {
-	case why != "" || l.closed:
+	case reason != "" || l.closed:
 	case errors.Is(err, io.EOF):
-		why = metrics.CloseByPeer
-		l.log.Info("connection to a switch closed by it", "open", len(s.open), "standing", len(l.standing))
-	case errors.Is(err, net.ErrClosed): // after a write that failed, which was logged
-		why = metrics.CloseBroken
+		reason = metrics.CloseByPeer
+		l.log.Info("connection closed by switch", "open", len(s.outstanding), "standing", len(l.established))
+	case errors.Is(err, net.ErrClosed): // after a failed write, which was logged
+		reason = metrics.CloseBroken
 	default:
-		why = metrics.CloseBroken
-		l.log.Warn("connection to a switch broke", "error", err, "open", len(s.open), "standing", len(l.standing))
+		reason = metrics.CloseBroken
+		l.log.Warn("connection to switch broke", "error", err, "open", len(s.outstanding), "standing", len(l.established))
 	}
-	if why != "" {
-		l.count.SwitchConnsClosed.WithLabelValues(why).Inc()
+	if reason != "" {
+		l.counters.SwitchConnsClosed.WithLabelValues(reason).Inc()
 	}
 }
 
-// take acts on what the switch said. A lost reply is made good by its repeat.
-func (s *session) take(ev Event) {
+// handle processes a message from the switch. A lost reply is sent again when the
+// switch repeats its message.
+func (s *session) handle(ev Event) {
 	l := s.link
 	switch ev.Kind {
 	case Answer:
 		switch l.answered(s, ev.Call, ev.Description) {
 		case core.Late:
-			// The attempt was given up: what it set up is released, not passed on.
-			l.log.Debug("late answer released", "call", callName(ev.Call))
+			// The attempt was abandoned: the call is released, and the answer not passed on.
+			l.log.Debug("call released after late answer", "call", callName(ev.Call))
 			l.Release(ev.Call)
 		case core.Copy, core.Unknown:
-			// A release would end a call that stands, or one of somebody else.
-			l.log.Debug("answer dropped: a copy, or of an unknown call", "call", callName(ev.Call))
+			// A release would end an established call, or another caller's call.
+			l.log.Debug("answer dropped: duplicate, or of an unknown call", "call", callName(ev.Call))
 		}
 	case End:
-		l.over(s, ev.Call)
-		l.up.Ended(ev.Call, ev.End)
+		l.callEnded(s, ev.Call)
+		l.handler.Ended(ev.Call, ev.End)
 		_ = s.write(nil, func() error { return s.conn.AcknowledgeRelease(ev.Call) })
 	case Group:
-		l.up.Group(ev.Report)
+		l.handler.Group(ev.Report)
 	case Test:
 		_ = s.write(nil, func() error { return s.conn.ReplyToTest(ev.Call) })
 	}
 }
 
-// write sends one message whole, or closes the connection: its reader then
-// ends what was open on it.
+// write sends one whole message. On an error it closes the connection, and the reader then
+// ends what was outstanding on it. If mayGo is set and returns false, nothing is written and
+// the error is core.ErrNotSent.
 func (s *session) write(mayGo func() bool, send func() error) error {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -238,7 +242,7 @@
 	}
 	err := send()
 	if errors.Is(err, core.ErrNotSent) {
-		return err // this message can't be sent; the connection is sound
+		return err // only this message can't be sent; the connection is usable
 	}
 	if err != nil {
 		s.conn.Close()
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -1,6 +1,6 @@
-// Package trunk keeps the way to one listed switch open, whichever wire the switch
-// speaks, and finds out whether the calls that stand there are still there. A front
-// brings the wire as a Dial and a Conn; decide/liveness judges the evidence.
+// Package trunk keeps a connection to one listed switch open, whichever protocol the
+// switch speaks, and finds out whether the calls established there still exist. A
+// protocol package provides a Dial and a Conn; decide/liveness evaluates the evidence.
 package trunk
 
 import (
@@ -15,33 +15,33 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Conn is one connection to a switch. Read is called by one goroutine; the
-// other methods one at a time, and each gives up after WriteTimeout. Read fails
-// on anything that can't be a switch's message: after that the connection is of
-// no use, whether it stays open or not.
+// Conn is one connection to a switch. Read is called by one goroutine, the other methods
+// by one goroutine at a time; each of these fails after WriteTimeout. Read fails on
+// anything that can't be a message from a switch. The connection is then unusable,
+// whether it stays open or not.
 type Conn interface {
 	Read() (Event, error)
-	SetUp(s *core.SetUp, until time.Time) error
+	SetUp(s *core.SetUp, deadline time.Time) error
 	Release(id uint64) error
 	AcknowledgeRelease(id uint64) error
 	ReplyToTest(id uint64) error
 	Close() error
 }
 
-// HalfCloser is a Conn that can say that nothing more will be written, and still read
-// what the switch had said by then.
+// HalfCloser is a Conn whose writing side can be closed while what the switch had sent by
+// then is still read.
 type HalfCloser interface {
 	CloseWrite() error
 }
 
-// Drainer is a Conn that can be read on after Read has failed, without sense to be made of
-// it, until it ends: with nil for a clean end.
+// Drainer is a Conn that can be read to its end after Read has failed, discarding the data.
+// Drain returns nil if the connection ends cleanly.
 type Drainer interface {
 	Drain() error
 }
 
-// Pinger is a Conn that can ask for a sign of life. Without one, a switch is verified by
-// another connection to it.
+// Pinger is a Conn that can ping the switch. A switch without a Pinger is probed by another
+// connection to it.
 type Pinger interface {
 	Ping(ctx context.Context) error
 }
@@ -49,45 +49,45 @@
 // Dial opens a connection to a switch.
 type Dial func(ctx context.Context, addr string) (Conn, error)
 
-// MessageTimeout bounds how long a message of a switch may take once it has begun:
-// one that stops short holds up all that is behind it.
+// MessageTimeout limits how long a message from a switch may take once it has begun: an
+// incomplete message blocks all that follow it.
 const MessageTimeout = 500 * time.Millisecond
 
-// WriteTimeout bounds every write. It is below the drain grace, so that no byte
-// of a set-up leaves later than its check allows.
+// WriteTimeout limits every write. It is below the drain grace period, so that no byte of
+// a set-up is sent later than its check allows.
 const WriteTimeout = 400 * time.Millisecond
 
-// Kind is what a switch said.
+// Kind is the kind of an Event.
 type Kind int
 
 // The kinds of events.
 const (
-	Ignored Kind = iota // free of meaning here
+	Ignored Kind = iota // a message that requires no action
 	Answer
 	End
 	Group
 	Test
 )
 
-// Event is one thing that a switch said.
+// Event is one message from a switch.
 type Event struct {
 	Kind        Kind
 	Call        uint64
-	Description []byte         // of an answer
-	End         core.End       // of an end
-	Report      routing.Report // of a group's state
-	Warning     error          // why something in it was skipped
+	Description []byte         // of an Answer
+	End         core.End       // of an End
+	Report      routing.Report // of a Group
+	Warning     error          // why a part of the message was skipped; nil if none was
 }
 
-// Timeouts bound what a link waits for.
+// Timeouts are the time limits of a link.
 type Timeouts struct {
-	Dial           time.Duration // a dial
-	Silence        time.Duration // a word from a switch that has a set-up
-	ReleaseBackoff time.Duration // a call's next set-up to a switch after a release that went out late
+	Dial           time.Duration // for a dial
+	Silence        time.Duration // for any message from a switch after a set-up was sent
+	ReleaseBackoff time.Duration // before a call's next set-up to a switch, after its release was sent late
 }
 
-// dialResult is the metrics label of a dial's error.
-func dialResult(err error) string {
+// dialLabel returns the metrics label of a dial's error.
+func dialLabel(err error) string {
 	switch {
 	case err == nil:
 		return metrics.DialUp
@@ -99,16 +99,16 @@
 	return metrics.DialOther
 }
 
-// isRefused says whether a dial's error shows that nothing listens there.
+// isRefused reports whether a dial's error shows that nothing listens at the address.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// isUnanswered says whether a dial's error shows that nothing came back. Errors of this
-// machine, such as a lack of descriptors, say nothing of the switch.
+// isUnanswered reports whether a dial's error shows that the switch did not answer. Errors
+// of the local machine, such as a lack of file descriptors, are no evidence about the switch.
 func isUnanswered(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout() || errors.Is(err, context.DeadlineExceeded) ||
 		errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETUNREACH)
 }
 
-// callName is a call's id as logs have it.
+// callName returns a call's id as it is logged: 16 hexadecimal digits.
 func callName(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -16,51 +16,50 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// recorder is a connection that notes what is written on it.
-type recorder struct {
-	said   chan string
-	closed chan struct{}
-	once   sync.Once
+// recordingConn is a connection that records what is written to it.
+type recordingConn struct {
+	written chan string
+	closed  chan struct{}
+	once    sync.Once
 }
 
-func (r *recorder) Read() (Event, error) {
+func (r *recordingConn) Read() (Event, error) {
 	<-r.closed
 	return Event{}, io.EOF
 }
-func (r *recorder) SetUp(s *core.SetUp, _ time.Time) error { return r.note("set up ", s.ID) }
-func (r *recorder) Release(id uint64) error                { return r.note("release ", id) }
-func (r *recorder) AcknowledgeRelease(id uint64) error     { return r.note("heard ", id) }
-func (r *recorder) ReplyToTest(id uint64) error            { return r.note("passed ", id) }
-func (r *recorder) Close() error {
+func (r *recordingConn) SetUp(s *core.SetUp, _ time.Time) error { return r.record("set up ", s.ID) }
+func (r *recordingConn) Release(id uint64) error                { return r.record("release ", id) }
+func (r *recordingConn) AcknowledgeRelease(id uint64) error     { return r.record("acknowledge ", id) }
+func (r *recordingConn) ReplyToTest(id uint64) error            { return r.record("test reply ", id) }
+func (r *recordingConn) Close() error {
 	r.once.Do(func() { close(r.closed) })
 	return nil
 }
 
-func (r *recorder) note(what string, id uint64) error {
-	r.said <- what + callName(id)
+func (r *recordingConn) record(message string, id uint64) error {
+	r.written <- message + callName(id)
 	return nil
 }
 
-// deaf hears nothing of what a switch says.
-type deaf struct{}
+// discardHandler ignores everything it receives.
+type discardHandler struct{}
 
-func (deaf) Answered(uint64, []byte) core.Verdict { return core.Unknown }
-func (deaf) Ended(uint64, core.End)               {}
-func (deaf) Group(routing.Report)                 {}
-func (deaf) CallsOver(core.EndReason, time.Time)  {}
-func (deaf) EvidenceMissing()                     {}
+func (discardHandler) Answered(uint64, []byte) core.Verdict { return core.Unknown }
+func (discardHandler) Ended(uint64, core.End)               {}
+func (discardHandler) Group(routing.Report)                 {}
+func (discardHandler) CallsOver(core.EndReason, time.Time)  {}
+func (discardHandler) EvidenceMissing()                     {}
 
-// Guards against a release that is lost because the switch has no connection
-// at that moment, as in the first instant after a start: the switch would hold
-// the call for good.
+// Guards against losing a release because there is no connection to the switch at that
+// moment, as just after a start: the switch would hold the call forever.
 func TestReleaseWaitsForAConnection(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	reachable, tried := make(chan struct{}), make(chan struct{}, 16)
-	conn := &recorder{said: make(chan string, 8), closed: make(chan struct{})}
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
+	reachable, dialed := make(chan struct{}), make(chan struct{}, 16)
+	conn := &recordingConn{written: make(chan string, 8), closed: make(chan struct{})}
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
-			tried <- struct{}{}
+			dialed <- struct{}{}
 			select {
 			case <-reachable:
 				return conn, nil
@@ -69,57 +68,57 @@
 			}
 		})
 	defer l.Close()
-	<-tried
+	<-dialed
 	l.Release(0xa1)
 	l.Release(0xb2)
 	close(reachable)
-	got := []string{<-conn.said, <-conn.said}
+	got := []string{<-conn.written, <-conn.written}
 	if err := l.SetUp(ctx, &core.SetUp{ID: 0xc3}, time.Now(), nil); err != nil {
 		t.Fatal(err)
 	}
-	got = append(got, <-conn.said)
+	got = append(got, <-conn.written)
 	want := []string{"release 00000000000000a1", "release 00000000000000b2", "set up 00000000000000c3"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("written (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against a connection that goes silent without a sign and stays open: with
-// a set-up out it is given up and dialled afresh, and the set-up is released there.
+// Guards against keeping a connection that falls silent but stays open. With an outstanding
+// set-up it is replaced by a new connection, and a release of the set-up is sent.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	said := make(chan string, 8) // on whichever connection
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	written := make(chan string, 8) // on any connection
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
-			return &recorder{said: said, closed: make(chan struct{})}, nil
+			return &recordingConn{written: written, closed: make(chan struct{})}, nil
 		})
 	defer l.Close()
 	if err := l.SetUp(ctx, &core.SetUp{ID: 0xc3}, time.Now(), nil); err != nil {
 		t.Fatal(err)
 	}
-	got := []string{<-said, <-said}
+	got := []string{<-written, <-written}
 	if diff := cmp.Diff([]string{"set up 00000000000000c3", "release 00000000000000c3"}, got); diff != "" {
 		t.Errorf("written (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against closing the one connection on which a draining switch, which takes
-// no new one, can still release what stands there.
+// Guards against closing the only connection on which a draining switch, which accepts no
+// new one, can still release its established calls.
 func TestQuietConnectionIsKept(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	dials := make(chan bool, 64)
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, deaf{}, Timeouts{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			dials <- true
-			return &recorder{said: make(chan string, 8), closed: make(chan struct{})}, nil
+			return &recordingConn{written: make(chan string, 8), closed: make(chan struct{})}, nil
 		})
 	defer l.Close()
 	<-dials
 	select {
 	case <-dials:
-		t.Error("a connection without a set-up out was replaced")
+		t.Error("a connection without an outstanding set-up was replaced")
 	case <-time.After(100 * time.Millisecond):
 	}
 }
