--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -37,14 +37,17 @@
 
 // Handler receives what a link learns about its switch.
 type Handler interface {
-	Answered(id uint64, description []byte) core.Verdict
-	Ended(id uint64, e core.End)
-	Group(r routing.Report)
-	// CallsOver reports that the calls established at the switch before the given time have
+	// Answered reports that the switch answered a set-up.
+	Answered(id uint64, description []byte) core.AnswerStatus
+	// Ended reports that a set-up or an established call has ended.
+	Ended(id uint64, outcome core.Outcome)
+	// GroupReported reports the state of the trunk group toward the switch.
+	GroupReported(r routing.Report)
+	// CallsEnded reports that the calls established at the switch before the given time have
 	// ended, although the switch did not release them.
-	CallsOver(why core.EndReason, before time.Time)
-	// EvidenceMissing reports that the switch does not answer. Others may not either.
-	EvidenceMissing()
+	CallsEnded(reason core.EndReason, before time.Time)
+	// SwitchSilent reports that the switch does not answer. Others may not either.
+	SwitchSilent()
 }
 
 // pendingRelease is a release that the switch may not have received.
@@ -59,7 +62,7 @@
 // Link keeps one connection to one switch open, also when there is nothing to send, because
 // group states and releases arrive on it. It implements core.Link.
 type Link struct {
-	member   core.Member
+	member   core.Switch
 	handler  Handler
 	log      *slog.Logger
 	counters *metrics.Set
@@ -99,7 +102,7 @@
 }
 
 // New creates a link and starts to connect.
-func New(ctx context.Context, m core.Member, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
+func New(ctx context.Context, m core.Switch, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
 	l := &Link{member: m, handler: handler, log: log.With("switch", m.ID, "addr", m.Addr), counters: counters, dial: dial, timeouts: timeouts,
 		dialing: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, lateReleases: map[uint64]time.Time{}, established: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
@@ -350,7 +353,7 @@
 	missing := l.detector.ProbeFailing() || d.CallsEnded
 	l.apply(d, err, now)
 	if missing {
-		l.handler.EvidenceMissing()
+		l.handler.SwitchSilent()
 	}
 	if isRefused(err) && current != nil && call != 0 {
 		// The switch drains, or its process exited during a network outage and the reset was
@@ -419,7 +422,7 @@
 		if d.State == liveness.Unreachable {
 			reason = core.EndUnreachable
 		}
-		l.handler.CallsOver(reason, before)
+		l.handler.CallsEnded(reason, before)
 	}
 	l.wakeMaintain()
 }
@@ -473,19 +476,19 @@
 
 // answered passes an answer on. The call is recorded as established first, because it may
 // be hung up at once.
-func (l *Link) answered(s *session, id uint64, description []byte) core.Verdict {
+func (l *Link) answered(s *session, id uint64, description []byte) core.AnswerStatus {
 	l.mu.Lock()
 	s.setUpDone(id)
 	_, before := l.established[id]
 	l.setEstablished(id, true)
 	l.mu.Unlock()
-	verdict := l.handler.Answered(id, description)
-	if !before && (verdict == core.Unknown || verdict == core.Late) {
+	status := l.handler.Answered(id, description)
+	if !before && (status == core.UnknownCall || status == core.Late) {
 		l.mu.Lock()
 		l.setEstablished(id, false)
 		l.mu.Unlock()
 	}
-	return verdict
+	return status
 }
 
 // callEnded records that the switch ended a set-up or a call.
@@ -574,7 +577,7 @@
 }
 
 // SetUp implements core.Link. It dials if there is no connection.
-func (l *Link) SetUp(ctx context.Context, u *core.SetUp, deadline time.Time, mayGo func() bool) error {
+func (l *Link) SetUp(ctx context.Context, u *core.SetUp, deadline time.Time, maySend func() bool) error {
 	if _, err := l.connect(ctx); err != nil {
 		return fmt.Errorf("%w: %w", core.ErrNotReached, err)
 	}
@@ -595,7 +598,7 @@
 		l.Release(u.ID) // again, as the earlier release may be lost
 		return fmt.Errorf("%w: the release of the call's previous attempt at this switch is too recent", core.ErrNotSent)
 	}
-	err := s.write(mayGo, func() error { return s.conn.SetUp(u, deadline) })
+	err := s.write(maySend, func() error { return s.conn.SetUp(u, deadline) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -631,8 +634,8 @@
 	return late && now.Sub(at) < l.timeouts.ReleaseBackoff
 }
 
-// GiveUp tells the switch that a set-up is abandoned.
-func (l *Link) GiveUp(id uint64) { l.Release(id) }
+// CancelSetUp tells the switch that a set-up is abandoned.
+func (l *Link) CancelSetUp(id uint64) { l.Release(id) }
 
 // Release tells the switch that a call has ended. Without a connection the release is sent
 // first on the next one. If maxPendingReleases are already waiting, it is dropped, and the
@@ -675,8 +678,8 @@
 	}
 }
 
-// Caution makes the link probe a silent switch sooner until the given time.
-func (l *Link) Caution(until time.Time) {
+// ProbeEarlyUntil makes the link probe a silent switch sooner until the given time.
+func (l *Link) ProbeEarlyUntil(until time.Time) {
 	l.mu.Lock()
 	l.detector.ProbeEarlyUntil(until)
 	if l.closed || len(l.established) == 0 {
@@ -687,9 +690,9 @@
 	l.apply(l.detector.Check(now), nil, now)
 }
 
-// Unproven reports whether calls established at the switch may have ended: the switch has
-// been silent for some time, and a probe failed.
-func (l *Link) Unproven() bool {
+// ProbeFailing reports whether calls established at the switch may have ended: the switch
+// has been silent for some time, and a probe failed.
+func (l *Link) ProbeFailing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.detector.ProbeFailing()
@@ -702,9 +705,9 @@
 	l.detector.SetDraining(draining)
 }
 
-// Leave records that the switch is no longer listed. The link then stops dialing, because
-// another switch may take the address.
-func (l *Link) Leave() {
+// StopDialing records that the switch is no longer listed. The link then opens no further
+// connection, because another switch may take the address.
+func (l *Link) StopDialing() {
 	l.mu.Lock()
 	l.removed = true
 	l.mu.Unlock()
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -64,11 +64,11 @@
 	ended chan string
 }
 
-func (r endRecorder) Answered(uint64, []byte) core.Verdict { return core.Taken }
-func (r endRecorder) Ended(id uint64, e core.End)          {}
-func (r endRecorder) Group(routing.Report)                 {}
-func (r endRecorder) EvidenceMissing()                     {}
-func (r endRecorder) CallsOver(reason core.EndReason, _ time.Time) {
+func (r endRecorder) Answered(uint64, []byte) core.AnswerStatus { return core.Accepted }
+func (r endRecorder) Ended(id uint64, e core.Outcome)           {}
+func (r endRecorder) GroupReported(routing.Report)              {}
+func (r endRecorder) SwitchSilent()                             {}
+func (r endRecorder) CallsEnded(reason core.EndReason, _ time.Time) {
 	r.ended <- reason.String()
 }
 
@@ -123,7 +123,7 @@
 				conns := make(chan *pipe, 64)
 				dials := -1
 				handler := endRecorder{ended: make(chan string, 8)}
-				l := New(t.Context(), core.Member{ID: "s1", Addr: "addr"}, handler, Timeouts{Dial: 500 * time.Millisecond, Silence: time.Second, ReleaseBackoff: 500 * time.Millisecond},
+				l := New(t.Context(), core.Switch{ID: "s1", Addr: "addr"}, handler, Timeouts{Dial: 500 * time.Millisecond, Silence: time.Second, ReleaseBackoff: 500 * time.Millisecond},
 					slog.New(slog.DiscardHandler), metrics.New(), func(ctx context.Context, _ string) (Conn, error) {
 						n := dials
 						dials++
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -95,13 +95,13 @@
 	}
 	l.releaseAll(releases)
 	s.reportReset(outstanding)
-	l.handler.EvidenceMissing()
+	l.handler.SwitchSilent()
 }
 
 // reportReset reports set-ups as reset with their connection.
 func (s *session) reportReset(outstanding []uint64) {
 	for _, id := range outstanding {
-		s.link.handler.Ended(id, core.End{Result: routing.Reset})
+		s.link.handler.Ended(id, core.Outcome{Result: routing.Reset})
 	}
 }
 
@@ -216,7 +216,7 @@
 			// The attempt was abandoned: the call is released, and the answer not passed on.
 			l.log.Debug("call released after late answer", "call", callName(ev.Call))
 			l.Release(ev.Call)
-		case core.Copy, core.Unknown:
+		case core.Duplicate, core.UnknownCall:
 			// A release would end an established call, or another caller's call.
 			l.log.Debug("answer dropped: duplicate, or of an unknown call", "call", callName(ev.Call))
 		}
@@ -225,19 +225,19 @@
 		l.handler.Ended(ev.Call, ev.End)
 		_ = s.write(nil, func() error { return s.conn.AcknowledgeRelease(ev.Call) })
 	case Group:
-		l.handler.Group(ev.Report)
+		l.handler.GroupReported(ev.Report)
 	case Test:
 		_ = s.write(nil, func() error { return s.conn.ReplyToTest(ev.Call) })
 	}
 }
 
 // write sends one whole message. On an error it closes the connection, and the reader then
-// ends what was outstanding on it. If mayGo is set and returns false, nothing is written and
+// ends what was outstanding on it. If maySend is set and returns false, nothing is written and
 // the error is core.ErrNotSent.
-func (s *session) write(mayGo func() bool, send func() error) error {
+func (s *session) write(maySend func() bool, send func() error) error {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	if mayGo != nil && !mayGo() {
+	if maySend != nil && !maySend() {
 		return core.ErrNotSent
 	}
 	err := send()
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -74,7 +74,7 @@
 	Kind        Kind
 	Call        uint64
 	Description []byte         // of an Answer
-	End         core.End       // of an End
+	End         core.Outcome   // of an End
 	Report      routing.Report // of a Group
 	Warning     error          // why a part of the message was skipped; nil if none was
 }
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -44,11 +44,11 @@
 // discardHandler ignores everything it receives.
 type discardHandler struct{}
 
-func (discardHandler) Answered(uint64, []byte) core.Verdict { return core.Unknown }
-func (discardHandler) Ended(uint64, core.End)               {}
-func (discardHandler) Group(routing.Report)                 {}
-func (discardHandler) CallsOver(core.EndReason, time.Time)  {}
-func (discardHandler) EvidenceMissing()                     {}
+func (discardHandler) Answered(uint64, []byte) core.AnswerStatus { return core.UnknownCall }
+func (discardHandler) Ended(uint64, core.Outcome)                {}
+func (discardHandler) GroupReported(routing.Report)              {}
+func (discardHandler) CallsEnded(core.EndReason, time.Time)      {}
+func (discardHandler) SwitchSilent()                             {}
 
 // Guards against losing a release because there is no connection to the switch at that
 // moment, as just after a start: the switch would hold the call forever.
@@ -57,7 +57,7 @@
 	defer cancel()
 	reachable, dialed := make(chan struct{}), make(chan struct{}, 16)
 	conn := &recordingConn{written: make(chan string, 8), closed: make(chan struct{})}
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Switch{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Minute}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			dialed <- struct{}{}
 			select {
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	written := make(chan string, 8) // on any connection
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Switch{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: 30 * time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			return &recordingConn{written: written, closed: make(chan struct{})}, nil
 		})
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	dials := make(chan bool, 64)
-	l := New(ctx, core.Member{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
+	l := New(ctx, core.Switch{ID: "s1", Addr: "addr"}, discardHandler{}, Timeouts{Dial: time.Minute, Silence: time.Millisecond}, slog.New(slog.DiscardHandler), metrics.New(),
 		func(ctx context.Context, _ string) (Conn, error) {
 			dials <- true
 			return &recordingConn{written: make(chan string, 8), closed: make(chan struct{})}, nil
