--- a/decide/liveness/liveness.go
+++ b/decide/liveness/liveness.go
@@ -19,7 +19,7 @@
 // State is the detector's current assessment of a peer.
 type State int
 
-// The states.
+// The states of a peer.
 const (
 	Alive       State = iota // there is recent evidence of life, or no call is established
 	Suspected                // calls are established, and the last evidence is too old
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -62,7 +62,7 @@
 // Link keeps one connection to one switch open, also when there is nothing to send, because
 // group states and releases arrive on it. It implements core.Link.
 type Link struct {
-	member   core.Switch
+	peer     core.Switch
 	handler  Handler
 	log      *slog.Logger
 	counters *metrics.Set
@@ -102,8 +102,8 @@
 }
 
 // New creates a link and starts to connect.
-func New(ctx context.Context, m core.Switch, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
-	l := &Link{member: m, handler: handler, log: log.With("switch", m.ID, "addr", m.Addr), counters: counters, dial: dial, timeouts: timeouts,
+func New(ctx context.Context, peer core.Switch, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
+	l := &Link{peer: peer, handler: handler, log: log.With("switch", peer.ID, "addr", peer.Addr), counters: counters, dial: dial, timeouts: timeouts,
 		dialing: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, lateReleases: map[uint64]time.Time{}, established: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
 	l.created = time.Now()
@@ -136,7 +136,7 @@
 				pause = probeInterval
 			}
 		case probe:
-			if l.probeBeside(current) == nil {
+			if l.probeSwitch(current) == nil {
 				continue
 			}
 			pause = probeInterval
@@ -160,9 +160,9 @@
 	}
 }
 
-// probeBeside probes the switch while the current connection is silent: by a ping if the
+// probeSwitch probes the switch while the current connection is silent: by a ping if the
 // protocol has one, otherwise by another connection, which replaces the current one.
-func (l *Link) probeBeside(current *session) error {
+func (l *Link) probeSwitch(current *session) error {
 	ctx, cancel := context.WithTimeout(l.ctx, l.timeouts.Dial)
 	defer cancel()
 	if p, ok := current.conn.(Pinger); ok {
@@ -220,7 +220,7 @@
 	l.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(l.ctx, lateDialFactor*l.timeouts.Dial)
 		defer cancel()
-		conn, err := l.dial(ctx, l.member.Addr)
+		conn, err := l.dial(ctx, l.peer.Addr)
 		result <- dialResult{conn, err}
 		return nil
 	})
@@ -245,7 +245,7 @@
 func (l *Link) startSession(r dialResult) (*session, error) {
 	conn, err := r.conn, r.err
 	if err == nil {
-		err = l.flush(conn)
+		err = l.flushReleases(conn)
 	}
 	l.recordDial(err)
 	if err != nil {
@@ -276,10 +276,10 @@
 	return s, nil
 }
 
-// flush writes the pending releases to a new connection, before any set-up is sent on it,
-// which may be of the same call. It also writes those that a silent current connection may
-// have lost.
-func (l *Link) flush(conn Conn) error {
+// flushReleases writes the pending releases to a new connection, before any set-up is sent on
+// it, which may be of the same call. It also writes those that a silent current connection
+// may have lost.
+func (l *Link) flushReleases(conn Conn) error {
 	l.mu.Lock()
 	pending := l.pending
 	l.pending = nil
@@ -414,7 +414,7 @@
 		l.checkTimer.Reset(time.Until(d.NextCheck))
 	}
 	if d.CallsEnded {
-		l.forgetCalls(d.State, cause, before)
+		l.removeCalls(d.State, cause, before)
 	}
 	l.mu.Unlock()
 	if d.CallsEnded {
@@ -427,8 +427,8 @@
 	l.wakeMaintain()
 }
 
-// forgetCalls removes the calls established before the given time. The lock is held.
-func (l *Link) forgetCalls(state liveness.State, cause error, before time.Time) {
+// removeCalls removes the calls established before the given time. The lock is held.
+func (l *Link) removeCalls(state liveness.State, cause error, before time.Time) {
 	total := len(l.established)
 	maps.DeleteFunc(l.established, func(_ uint64, since time.Time) bool { return since.Before(before) })
 	l.detector.SetEstablished(len(l.established))
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -21,6 +21,8 @@
 // whether it stays open or not.
 type Conn interface {
 	Read() (Event, error)
+	// SetUp sends a set-up that the switch must answer by the deadline. It returns an error
+	// that wraps core.ErrNotSent if the set-up can't be encoded; the connection stays usable.
 	SetUp(s *core.SetUp, deadline time.Time) error
 	Release(id uint64) error
 	AcknowledgeRelease(id uint64) error
