--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -9,344 +9,351 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// call is one call from its set-up to its end.
-type call struct {
+// callState is the state of one call from set-up to end.
+type callState struct {
 	*SetUp
-	name    string // its id, as the module knows it
+	name    string // the controller's name of the call: its ID in hexadecimal
 	caller  Caller
-	ctx     context.Context // ends when the caller leaves
+	ctx     context.Context // ends when the caller withdraws or hangs up
 	leave   context.CancelFunc
-	actions chan routing.Action // what the module wants done
-	replies chan reply          // what its switch said
+	actions chan routing.Action // decisions of the controller
+	replies chan switchReply    // answers and releases of its switch
 
-	over chan struct{} // closed when the core has forgotten it
+	done chan struct{} // closed when the core has removed the call
 
-	// Under the core's lock:
-	out        *member   // the switch that a set-up is out at, or that it stands through
-	last       *member   // the last switch that a set-up was for
-	answered   bool      // that switch answered
-	stoodSince time.Time // ... at this time
-	final      bool      // the final answer was given
-	shut       bool      // Close left it
+	// Guarded by the core's lock:
+	currentSwitch    *listedSwitch // where a set-up is outstanding or the call is established; nil if neither
+	lastSwitch       *listedSwitch // the switch of the last attempt
+	answered         bool          // lastSwitch answered
+	establishedAt    time.Time     // time of that answer
+	finalAnswerGiven bool
+	handedOver       bool // Close ended the goroutine, while the caller had not left
 
-	// The goroutine's own:
-	sends     int
-	notBefore time.Time // no send before
+	// Used by the call's goroutine only:
+	sendCount int       // attempts so far; the current one is sendCount-1
+	notBefore time.Time // no set-up is sent before this time
 }
 
-// reply is what a switch said of a call.
-type reply struct {
-	answer      bool
+// switchReply is an answer or a release of a switch for a call.
+type switchReply struct {
+	isAnswer    bool
 	description []byte
-	end         Outcome
-	why         EndReason // of the end of a call that stood
+	outcome     Outcome
+	reason      EndReason // why an established call ended
 }
 
-func newCall(c *Core, s *SetUp, from Caller) *call {
-	k := &call{SetUp: s, name: fmt.Sprintf("%016x", s.ID), caller: from,
-		actions: make(chan routing.Action, 8), replies: make(chan reply, 4), over: make(chan struct{})}
-	k.ctx, k.leave = context.WithCancel(c.ctx)
-	return k
+func newCall(c *Core, setUp *SetUp, caller Caller) *callState {
+	call := &callState{SetUp: setUp, name: fmt.Sprintf("%016x", setUp.ID), caller: caller,
+		actions: make(chan routing.Action, 8), replies: make(chan switchReply, 4), done: make(chan struct{})}
+	call.ctx, call.leave = context.WithCancel(c.ctx)
+	return call
 }
 
-// push never blocks: a switch that repeats itself loses the repeats.
-func (k *call) push(r reply) bool {
+// deliverReply queues a reply for the call's goroutine. It never blocks: if the queue is full,
+// as when a switch repeats itself, the reply is discarded and the result is false.
+func (call *callState) deliverReply(reply switchReply) bool {
 	select {
-	case k.replies <- r:
+	case call.replies <- reply:
 		return true
 	default:
 		return false
 	}
 }
 
-// serve is the life of one call. It asks the module at each point of choice
-// and gives the caller exactly one final answer.
-func (c *Core) serve(k *call) {
-	defer c.drop(k)
-	defer k.leave()
+// serve runs one call from set-up to end. It executes the controller's decisions and gives the
+// caller exactly one final answer.
+func (c *Core) serve(call *callState) {
+	defer c.removeCall(call)
+	defer call.leave()
 
-	// The module hears of the call. Its answer must leave before the caller gives
-	// up, so the module is told a somewhat earlier time.
-	due := time.NewTimer(time.Until(k.Deadline.Add(-guardMargin)))
-	defer due.Stop()
-	c.tell(routing.Offered{Call: k.name, Class: k.Class, Number: k.Number, Dest: k.Dest, Width: k.Width,
-		Expires: c.clock(k.Deadline.Add(-answerMargin)), Transit: k.Transit, AfterCut: k.AfterCut})
+	// The final answer must be sent before the caller gives up, so the controller gets a
+	// slightly earlier deadline.
+	overdueTimer := time.NewTimer(time.Until(call.Deadline.Add(-overdueMargin)))
+	defer overdueTimer.Stop()
+	c.handleEvent(routing.Offered{Call: call.name, Class: call.Class, Number: call.Number, Dest: call.Dest,
+		Width: call.Width, Expires: c.controllerTime(call.Deadline.Add(-answerMargin)), Transit: call.Transit,
+		AfterCut: call.AfterCut})
 
 	for {
-		// What the module wants next: a send now, or after a hold or a rest; or
-		// the final answer.
+		// The next decision: a send, at once or after a wait, or the final answer.
 		var send routing.Send
-		switch a := c.next(k, due.C).(type) {
+		switch a := c.nextDecision(call, overdueTimer.C).(type) {
 		case routing.Send:
 			send = a
 		case routing.Refuse:
-			k.caller.Refuse(k.ID, a.RetryAfter)
-			c.opt.Observer.FinalAnswer(AnswerRefused)
+			call.caller.Refuse(call.ID, a.RetryAfter)
+			c.options.Observer.FinalAnswer(AnswerRefused)
 			return
 		case routing.Fail:
-			k.caller.Fail(k.ID)
-			c.opt.Observer.FinalAnswer(AnswerFailed)
+			call.caller.Fail(call.ID)
+			c.options.Observer.FinalAnswer(AnswerFailed)
 			return
-		case left:
-			c.opt.Observer.FinalAnswer(AnswerCallerLeft)
+		case callerLeft:
+			c.options.Observer.FinalAnswer(AnswerCallerLeft)
 			return
-		case overdue:
-			k.caller.Fail(k.ID)
-			c.opt.Observer.FinalAnswer(AnswerOverdue)
+		case decisionOverdue:
+			call.caller.Fail(call.ID)
+			c.options.Observer.FinalAnswer(AnswerOverdue)
 			return
-		case expired:
-			k.caller.Fail(k.ID)
-			c.opt.Observer.FinalAnswer(AnswerShutdown)
+		case shuttingDown:
+			call.caller.Fail(call.ID)
+			c.options.Observer.FinalAnswer(AnswerShutdown)
 			return
 		default:
-			continue // a cancel that crossed its attempt's end
+			continue // a cancel for an attempt that has just ended
 		}
 
-		// The attempt, and how it came out.
-		sent := time.Now()
-		l, err := c.setUp(k, send)
-		r, how := reply{}, byModule
+		// The attempt and its result.
+		sentAt := time.Now()
+		link, err := c.sendSetUp(call, send)
+		reply, endedBy := switchReply{}, endedByController
 		if err == nil {
-			r, how = c.await(k, sent.Add(send.Timeout))
-		} else if k.ctx.Err() != nil {
-			how = byCaller
+			reply, endedBy = c.awaitReply(call, sentAt.Add(send.Timeout))
+		} else if call.ctx.Err() != nil {
+			endedBy = endedByCaller
 		}
 		switch {
-		case how == byCaller, how == byShutdown:
+		case endedBy == endedByCaller, endedBy == endedByShutdown:
 			if err == nil {
-				l.CancelSetUp(k.ID)
+				link.CancelSetUp(call.ID)
 			}
-			c.tell(routing.Withdrawn{Call: k.name})
-			c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
-			if how == byCaller {
-				c.opt.Observer.FinalAnswer(AnswerCallerLeft)
+			c.handleEvent(routing.Withdrawn{Call: call.name})
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.Cancelled}, true)
+			if endedBy == endedByCaller {
+				c.options.Observer.FinalAnswer(AnswerCallerLeft)
 				return
 			}
-			k.caller.Fail(k.ID)
-			c.opt.Observer.FinalAnswer(AnswerShutdown)
+			call.caller.Fail(call.ID)
+			c.options.Observer.FinalAnswer(AnswerShutdown)
 			return
 		case errors.Is(err, ErrNotReached):
-			c.settle(k, send, sent, Outcome{Result: routing.NotReached}, false)
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.NotReached}, false)
 		case errors.Is(err, ErrNotSent):
-			c.settle(k, send, sent, Outcome{Result: routing.NotSent}, false)
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.NotSent}, false)
 		case err != nil:
-			c.settle(k, send, sent, Outcome{Result: routing.Reset}, false)
-		case how == byClock:
-			l.CancelSetUp(k.ID)
-			c.settle(k, send, sent, Outcome{Result: routing.TimedOut}, false)
-		case how == byModule:
-			l.CancelSetUp(k.ID)
-			c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, false)
-		case !r.answer:
-			if r.end.Result == routing.Ended {
-				r.end.Result = routing.Failed // released without an answer
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.Reset}, false)
+		case endedBy == endedByTimeout:
+			link.CancelSetUp(call.ID)
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.TimedOut}, false)
+		case endedBy == endedByController:
+			link.CancelSetUp(call.ID)
+			c.endAttempt(call, send, sentAt, Outcome{Result: routing.Cancelled}, false)
+		case !reply.isAnswer:
+			if reply.outcome.Result == routing.Ended {
+				reply.outcome.Result = routing.Failed // released without an answer
 			}
-			c.settle(k, send, sent, r.end, false)
+			c.endAttempt(call, send, sentAt, reply.outcome, false)
 		default:
-			c.tell(routing.Established{Call: k.name, Attempt: k.sends - 1, Delay: time.Since(sent)})
-			if err := k.caller.Answer(k.ID, r.description); err != nil {
-				l.Release(k.ID)
-				c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
-				c.opt.Observer.FinalAnswer(AnswerNotDelivered)
-				c.opt.Observer.CallEnded(EndNotDelivered)
+			c.handleEvent(routing.Established{Call: call.name, Attempt: call.sendCount - 1, Delay: time.Since(sentAt)})
+			if err := call.caller.Answer(call.ID, reply.description); err != nil {
+				link.Release(call.ID)
+				c.endAttempt(call, send, sentAt, Outcome{Result: routing.Cancelled}, true)
+				c.options.Observer.FinalAnswer(AnswerNotDelivered)
+				c.options.Observer.CallEnded(EndNotDelivered)
 				return
 			}
-			c.answeredCaller(k)
-			c.opt.Observer.FinalAnswer(AnswerEstablished)
-			c.opt.Observer.AttemptEnded(routing.Ended)
+			c.markAnswered(call)
+			c.options.Observer.FinalAnswer(AnswerEstablished)
+			c.options.Observer.AttemptEnded(routing.Ended)
 
-			// The call stands until its switch ends it or its caller hangs up.
+			// The call is established until its switch ends it or its caller hangs up.
 			select {
-			case r := <-k.replies:
-				if r.why.judgedHere() {
-					l.Release(k.ID) // it may stand there yet
+			case reply := <-call.replies:
+				if reply.reason.decidedLocally() {
+					link.Release(call.ID) // the switch may still have the call
 				}
-				c.settle(k, send, sent, r.end, true)
-				k.caller.Release(k.ID, r.end.Result != routing.Ended)
-				c.opt.Observer.CallEnded(r.why)
-			case <-k.ctx.Done():
-				why := EndHandedOver
-				if !c.isShut(k) {
-					why = EndHungUp
-					l.Release(k.ID)
+				c.endAttempt(call, send, sentAt, reply.outcome, true)
+				call.caller.Release(call.ID, reply.outcome.Result != routing.Ended)
+				c.options.Observer.CallEnded(reply.reason)
+			case <-call.ctx.Done():
+				reason := EndHandedOver
+				if !c.isHandedOver(call) {
+					reason = EndHungUp
+					link.Release(call.ID)
 				}
-				c.settle(k, send, sent, Outcome{Result: routing.Cancelled}, true)
-				c.opt.Observer.CallEnded(why)
+				c.endAttempt(call, send, sentAt, Outcome{Result: routing.Cancelled}, true)
+				c.options.Observer.CallEnded(reason)
 			}
 			return
 		}
 	}
 }
 
-// What next returns beside the module's actions.
+// Results of nextDecision besides the controller's actions.
 type (
-	left    struct{} // the caller has left
-	overdue struct{} // the module forgot the call, and its caller is about to give up
-	expired struct{} // the proxy is about to end
+	callerLeft      struct{} // the caller withdrew the set-up
+	decisionOverdue struct{} // the controller has not decided, and the caller is about to give up
+	shuttingDown    struct{} // the proxy is about to exit
 )
 
-// next waits for what the module wants of a call that has no attempt out. What
-// was decided already counts before the clock, but not for a caller who has left.
-func (c *Core) next(k *call, due <-chan time.Time) any {
+// nextDecision waits for the controller's next decision on a call without an outstanding
+// attempt. A decision that is already queued takes precedence over the timer and over shutdown,
+// but not over a caller who has left.
+func (c *Core) nextDecision(call *callState, overdueTimer <-chan time.Time) any {
 	select {
-	case <-k.ctx.Done():
-		c.withdraw(k)
-		return left{}
+	case <-call.ctx.Done():
+		c.withdraw(call)
+		return callerLeft{}
 	default:
 	}
 	select {
-	case a := <-k.actions:
+	case a := <-call.actions:
 		return a
 	default:
 	}
 	select {
-	case a := <-k.actions:
+	case a := <-call.actions:
 		return a
-	case <-k.ctx.Done():
-		c.withdraw(k)
-		return left{}
-	case <-c.expired:
-		c.withdraw(k)
-		return expired{}
-	case <-due:
-		c.log.Error("no decision before the caller gives up", "call", k.name)
-		c.withdraw(k)
-		return overdue{}
+	case <-call.ctx.Done():
+		c.withdraw(call)
+		return callerLeft{}
+	case <-c.shutdown:
+		c.withdraw(call)
+		return shuttingDown{}
+	case <-overdueTimer:
+		c.log.Error("no decision on a call before its caller gives up", "call", call.name)
+		c.withdraw(call)
+		return decisionOverdue{}
 	}
 }
 
-// withdraw takes a call without an attempt out back from the module. A send that
-// the module had ordered by then is settled as not used: the module would count
-// it as out for good, and after a few such calls send nothing to that switch.
-func (c *Core) withdraw(k *call) {
-	c.tell(routing.Withdrawn{Call: k.name})
-	for len(k.actions) > 0 {
-		if send, ok := (<-k.actions).(routing.Send); ok {
-			k.sends++
-			c.settle(k, send, time.Now(), Outcome{Result: routing.NotSent}, true)
+// withdraw tells the controller that the caller of a call without an outstanding attempt has
+// left, or that the call fails. A Send that the controller has already queued is reported as
+// not sent: it would otherwise count as outstanding forever, and after a few such calls the
+// controller would send nothing more to that switch.
+func (c *Core) withdraw(call *callState) {
+	c.handleEvent(routing.Withdrawn{Call: call.name})
+	for len(call.actions) > 0 {
+		if send, ok := (<-call.actions).(routing.Send); ok {
+			call.sendCount++
+			c.endAttempt(call, send, time.Now(), Outcome{Result: routing.NotSent}, true)
 		}
 	}
 }
 
-// Who ended the wait for a switch.
-type ender int
+// waitEnd is what ended the wait for a reply of a switch.
+type waitEnd int
 
 const (
-	bySwitch ender = iota
-	byCaller
-	byClock
-	byModule
-	byShutdown
+	endedBySwitch waitEnd = iota
+	endedByCaller
+	endedByTimeout
+	endedByController
+	endedByShutdown
 )
 
-// await waits for what a switch says of a set-up, but no longer than the
-// caller stays, the time allowed for it and the module's patience.
-func (c *Core) await(k *call, until time.Time) (reply, ender) {
-	limit := time.NewTimer(time.Until(until))
-	defer limit.Stop()
-	var how ender
+// awaitReply waits for the switch's reply to a set-up until the given time. It stops earlier if
+// the caller leaves, the controller cancels the attempt or the proxy is about to exit.
+func (c *Core) awaitReply(call *callState, until time.Time) (switchReply, waitEnd) {
+	timeout := time.NewTimer(time.Until(until))
+	defer timeout.Stop()
+	var endedBy waitEnd
 wait:
 	for {
 		select {
-		case r := <-k.replies:
-			return r, bySwitch
-		case <-limit.C:
-			how = byClock
+		case reply := <-call.replies:
+			return reply, endedBySwitch
+		case <-timeout.C:
+			endedBy = endedByTimeout
 			break wait
-		case <-k.ctx.Done():
-			how = byCaller
+		case <-call.ctx.Done():
+			endedBy = endedByCaller
 			break wait
-		case <-c.expired:
-			how = byShutdown
+		case <-c.shutdown:
+			endedBy = endedByShutdown
 			break wait
-		case a := <-k.actions:
-			if x, ok := a.(routing.Cancel); ok {
-				if x.Attempt != k.sends-1 {
+		case a := <-call.actions:
+			if cancel, ok := a.(routing.Cancel); ok {
+				if cancel.Attempt != call.sendCount-1 {
 					continue
 				}
-				how = byModule
+				endedBy = endedByController
 				break wait
 			}
-			c.log.Error("an action while a set-up is out", "call", k.name, "action", fmt.Sprintf("%T", a))
+			c.log.Error("unexpected action while a set-up is outstanding", "call", call.name,
+				"action", fmt.Sprintf("%T", a))
 		}
 	}
-	// From here on an answer is late. One that came a moment ago still counts,
-	// unless nobody waits for it.
+	// An answer that arrives from here on is late. One that is already queued still counts,
+	// unless the caller has left.
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.out = nil
+	call.currentSwitch = nil
 	select {
-	case r := <-k.replies:
-		if how != byCaller {
-			k.out = k.last
-			return r, bySwitch
+	case reply := <-call.replies:
+		if endedBy != endedByCaller {
+			call.currentSwitch = call.lastSwitch
+			return reply, endedBySwitch
 		}
 	default:
 	}
-	return reply{}, how
+	return switchReply{}, endedBy
 }
 
 var (
-	errBroken = errors.New("a rule would be broken")
-	errRest   = fmt.Errorf("%w: the call rests after its last attempt", errBroken)
-	errSends  = fmt.Errorf("%w: no attempt is left", errBroken)
-	errRoute  = fmt.Errorf("%w: a call in transit goes to its destination only", errBroken)
-	errOwn    = fmt.Errorf("%w: a call never goes to the own exchange", errBroken)
+	errRuleViolated  = errors.New("routing rule violated")
+	errBackoff       = fmt.Errorf("%w: the retry backoff has not elapsed", errRuleViolated)
+	errNoAttemptLeft = fmt.Errorf("%w: no attempt is left", errRuleViolated)
+	errTransitRoute  = fmt.Errorf("%w: a call in transit may only go to its destination", errRuleViolated)
+	errOwnExchange   = fmt.Errorf("%w: a call may not go to the own exchange", errRuleViolated)
 )
 
-// setUp sends a set-up as the module wants it, or says why it was not sent.
-// This is the last place where the rules are kept: whatever the module says, a
-// call rests for as long as it must, and nothing new goes to a switch that
-// drains or is gone by the list at the moment of the first byte.
-func (c *Core) setUp(k *call, send routing.Send) (Link, error) {
+// sendSetUp executes a Send of the controller, or returns why it was not sent. It is the last
+// check of the routing rules and does not rely on the controller: the retry backoff, the limit
+// of attempts and the permitted destinations are enforced here, and nothing new goes to a switch
+// that the list has as draining or removed when the first byte is written.
+func (c *Core) sendSetUp(call *callState, send routing.Send) (Link, error) {
 	c.mu.Lock()
-	m := c.members[send.Host]
+	sw := c.switches[send.Host]
 	var err error
 	switch {
-	case m == nil || m.State != routing.Ready:
+	case sw == nil || sw.State != routing.Ready:
 		err = ErrNotSent
-	case time.Now().Before(k.notBefore):
-		err = errRest
-	case k.sends >= c.opt.Settings.MaxAttempts:
-		err = errSends
-	case k.Transit && m.Exchange != k.Dest:
-		err = errRoute
-	case !c.opt.Settings.PoolMode && m.Exchange == c.opt.Settings.OwnExchange:
-		err = errOwn
+	case time.Now().Before(call.notBefore):
+		err = errBackoff
+	case call.sendCount >= c.options.Settings.MaxAttempts:
+		err = errNoAttemptLeft
+	case call.Transit && sw.Exchange != call.Dest:
+		err = errTransitRoute
+	case !c.options.Settings.PoolMode && sw.Exchange == c.options.Settings.OwnExchange:
+		err = errOwnExchange
 	}
-	k.sends++ // the module counts this one, whatever becomes of it
+	call.sendCount++ // the controller counts this attempt, whether it is sent or not
 	if err == nil {
-		k.out, k.last, k.answered = m, m, false
-		for len(k.replies) > 0 {
-			<-k.replies // of an earlier attempt that had ended already
+		call.currentSwitch, call.lastSwitch, call.answered = sw, sw, false
+		for len(call.replies) > 0 {
+			<-call.replies // discard replies to earlier attempts, which have ended
 		}
 	}
 	c.mu.Unlock()
 	if err != nil {
-		c.opt.Observer.SetUpHeldBack()
-		c.log.Warn("set-up held back", "call", k.name, "switch", send.Host, "why", err)
+		c.options.Observer.SetUpHeldBack()
+		c.log.Warn("set-up held back", "call", call.name, "switch", send.Host, "why", err)
 		return nil, ErrNotSent
 	}
 	until := time.Now().Add(send.Timeout)
-	ctx, cancel := context.WithDeadline(k.ctx, until)
+	ctx, cancel := context.WithDeadline(call.ctx, until)
 	defer cancel()
-	err = m.link.SetUp(ctx, k.SetUp, until, func() bool { return ctx.Err() == nil && c.ready(m) })
-	return m.link, err
+	err = sw.link.SetUp(ctx, call.SetUp, until, func() bool { return ctx.Err() == nil && c.acceptsSetUps(sw) })
+	return sw.link, err
 }
 
-// settle tells the module how an attempt ended.
-func (c *Core) settle(k *call, send routing.Send, sent time.Time, e Outcome, over bool) {
+// endAttempt reports to the controller how an attempt ended. callEnded means that no final
+// answer is pending any more.
+func (c *Core) endAttempt(call *callState, send routing.Send, sentAt time.Time, outcome Outcome,
+	callEnded bool) {
 	now := time.Now()
-	if !over {
-		c.opt.Observer.AttemptEnded(e.Result)
+	if !callEnded {
+		c.options.Observer.AttemptEnded(outcome.Result)
 	}
-	switch e.Result {
+	switch outcome.Result {
 	case routing.TimedOut, routing.Reset, routing.Cancelled:
-		k.notBefore = now.Add(c.opt.Settings.ReleaseDelay)
+		call.notBefore = now.Add(c.options.Settings.ReleaseDelay)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.out = nil
-	c.tellLocked(routing.AttemptEnded{Call: k.name, Attempt: k.sends - 1, Host: send.Host, Result: e.Result, Cause: e.Cause,
-		CallEnded: over, Delay: now.Sub(sent), Report: routing.NoReport})
+	call.currentSwitch = nil
+	c.handleEventLocked(routing.AttemptEnded{Call: call.name, Attempt: call.sendCount - 1, Host: send.Host,
+		Result: outcome.Result, Cause: outcome.Cause, CallEnded: callEnded, Delay: now.Sub(sentAt),
+		Report: routing.NoReport})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
-// Package core runs calls by the decisions of package routing. It knows no wire:
-// callers and switches are interfaces that the fronts fill.
+// Package core executes the decisions of package routing. It is independent of the
+// wire protocols: callers and switches are interfaces that the front ends implement.
 //
-// One Core owns one Controller, which is not safe for concurrent use, behind
-// one lock. Events go in as they arrive; the actions that come back are handed
-// to the goroutine of the call they name. Each call has one goroutine, which
-// runs Core.serve from its set-up to its end.
+// A Core owns one routing.Controller, which is not safe for concurrent use, and guards
+// it with one lock. Events are passed to the controller as they arrive; the actions that
+// it returns are delivered to the goroutine of the call that they name. Each call has one
+// goroutine, which runs Core.serve from set-up to end.
 package core
 
 import (
@@ -20,27 +20,27 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// SetUp is a call as its caller asked for it.
+// SetUp describes a call as requested by its caller.
 type SetUp struct {
 	ID          uint64
-	Class       int // place in the settings
+	Class       int // index into Settings.Classes
 	ClassName   string
 	Tenant      string
 	Number      string
-	Description []byte // passed on unchanged
+	Description []byte // forwarded unchanged
 	Dest        int
 	Width       int
 	Transit     bool
-	AfterCut    bool      // it stood, was cut, and comes again
-	Deadline    time.Time // when its caller gives up
+	AfterCut    bool      // a new set-up of an established call that was cut
+	Deadline    time.Time // when the caller gives up
 }
 
-// MaxNumberDigits is the most digits that a number called has.
+// MaxNumberDigits is the maximum length of a called number, in digits.
 const MaxNumberDigits = 64
 
-// IsValidNumber says whether a text can be a number called: decimal or hexadecimal
-// digits. A switch may close its connection on anything else, with every call on
-// it, so no front lets it pass.
+// IsValidNumber reports whether v can be a called number: 1 to MaxNumberDigits decimal or
+// hexadecimal digits. A switch may close its connection on anything else, which ends every
+// call on that connection, so the front ends reject other numbers.
 func IsValidNumber(v string) bool {
 	if v == "" || len(v) > MaxNumberDigits {
 		return false
@@ -53,277 +53,293 @@
 	return true
 }
 
-// Caller is where a call came from. Its methods may block for no longer than a
-// write deadline; each is called by the call's own goroutine.
+// Caller is the origin of a call. Its methods may block for no longer than a write
+// deadline. They are called from the goroutine of the call.
 type Caller interface {
-	// Answer says that the call stands. An error means the caller can't know it.
+	// Answer reports that the call is established. An error means that the caller did not
+	// receive the answer.
 	Answer(id uint64, description []byte) error
-	// Refuse turns the call away; again says when it may be tried again.
-	Refuse(id uint64, again time.Duration)
+	// Refuse reports that the call was refused and may be redialled after retryAfter.
+	Refuse(id uint64, retryAfter time.Duration)
+	// Fail reports that the set-up failed.
 	Fail(id uint64)
-	// Release says that a call that stood is over.
+	// Release reports that an established call has ended; cut is set if it did not end normally.
 	Release(id uint64, cut bool)
 }
 
-// Link is the way to one listed switch.
+// Link sends set-ups and releases to one listed switch.
 type Link interface {
-	// SetUp writes a set-up. It asks mayGo just before the first byte, and waits
-	// for a connection no longer than the context allows. Its error is one of
-	// ErrNotReached and ErrNotSent where the set-up surely never arrived.
-	SetUp(ctx context.Context, s *SetUp, until time.Time, mayGo func() bool) error
+	// SetUp writes a set-up. It calls maySend just before the first byte, and sends nothing
+	// if that returns false. It waits for a connection until the context ends. The error is
+	// ErrNotReached or ErrNotSent if the set-up certainly did not arrive.
+	SetUp(ctx context.Context, setUp *SetUp, until time.Time, maySend func() bool) error
+	// CancelSetUp withdraws a set-up that is not answered yet.
 	CancelSetUp(id uint64)
+	// Release ends an established call.
 	Release(id uint64)
-	// ProbeEarlyUntil makes the link verify a silent switch sooner until some time.
+	// ProbeEarlyUntil shortens the silence after which the link probes the switch, until
+	// the given time.
 	ProbeEarlyUntil(until time.Time)
-	// ProbeFailing says whether calls that stand there may be over: the switch is silent,
-	// and a verification failed.
+	// ProbeFailing reports whether the calls established at the switch may have ended: the
+	// switch is silent, and a probe failed.
 	ProbeFailing() bool
-	// SetDraining says whether the switch drains by the list.
-	SetDraining(yes bool)
-	// StopDialing says that the switch has gone: nothing new is to be opened to its address.
+	// SetDraining sets whether the switch is draining according to the list.
+	SetDraining(draining bool)
+	// StopDialing is called when the switch is gone: the link opens no more connections to
+	// its address.
 	StopDialing()
+	// Close closes the link and waits for its goroutines.
 	Close()
 }
 
-// Errors of a Link's SetUp.
+// Errors returned by Link.SetUp.
 var (
 	ErrNotReached = errors.New("switch not reached")
 	ErrNotSent    = errors.New("set-up not sent")
 )
 
-// Switch is a switch on the list. Its id is its identity: another switch may
-// take the address later.
+// Switch is a switch on the list. It is identified by its ID, as another switch may take
+// over its address later.
 type Switch struct {
 	ID       string
 	Addr     string
 	Exchange int
-	Started  time.Time // zero: long ago
+	Started  time.Time // zero: long ago or unknown
 	State    routing.State
 }
 
-// Outcome says how a set-up or a standing call ended at its switch.
+// Outcome is how a set-up or an established call ended at its switch.
 type Outcome struct {
 	Result routing.Result
 	Cause  routing.Cause
 }
 
-// Options are what a Core is made of.
+// Options configures a Core.
 type Options struct {
 	Settings routing.Settings
 	Seed     uint64
 	Log      *slog.Logger
-	// OpenLink makes the link to a member, which tells the peer what it hears. It must
-	// not block.
-	OpenLink func(m Switch, peer *SwitchHandler) (Link, error)
-	// OnUnknownRelease is told of the end of a call that is not known here: it stood
-	// through this proxy before its restart, and its caller must hear of it.
+	// OpenLink creates the link to a switch. The link reports the events of the switch to the
+	// handler. OpenLink must not block.
+	OpenLink func(sw Switch, handler *SwitchHandler) (Link, error)
+	// OnUnknownRelease is called when a switch releases a call that this core does not know:
+	// it was established through this proxy before a restart, and its caller must be notified.
 	OnUnknownRelease func(id uint64, cut bool)
-	MaxCalls         int
-	Observer         Observer // nil: nobody counts
-	// OnAccepted, if set, is told of each call that is taken from a caller of this exchange.
-	// It must not block.
-	OnAccepted func(s *SetUp)
+	MaxCalls         int      // calls at once; 0: 8192
+	Observer         Observer // may be nil
+	// OnAccepted, if set, is called for each call accepted from a caller of this exchange,
+	// except those in transit and those set up again after a cut. It must not block.
+	OnAccepted func(setUp *SetUp)
 }
 
-// Times that are the core's own.
 const (
-	answerMargin = 40 * time.Millisecond // an answer leaves so long before its caller gives up
-	guardMargin  = 15 * time.Millisecond // ... and the core gives one itself so long before
-	// A list comes up to 7 s late, and callers hear of an end within 8 s of it.
-	removedLinger  = 500 * time.Millisecond // for releases of a removed switch that are on their way
-	lastWords      = 200 * time.Millisecond // ... and for ours to it after that
-	cautionFor     = 10 * time.Second       // after evidence of some switch was missing
-	endedMemory    = 30 * time.Second
-	maxEnded       = 1 << 15
-	maxUnknownEnds = 1024
-	epoch          = 24 * time.Hour // the module's clock at the start: switches may be older
+	// The controller must give the final answer answerMargin before the caller gives up. If it
+	// does not, the core fails the call overdueMargin before the caller gives up.
+	answerMargin  = 40 * time.Millisecond
+	overdueMargin = 15 * time.Millisecond
+	// A list may be up to 7 s late, and callers must be notified of an end within 8 s.
+	removalGrace      = 500 * time.Millisecond // wait for releases from a removed switch that are in flight
+	linkCloseDelay    = 200 * time.Millisecond // then wait for releases sent to it
+	probeEarlyFor     = 10 * time.Second       // duration of early probing, see ProbeEarly
+	endedRetention    = 30 * time.Second
+	maxEndedCalls     = 1 << 15
+	maxUnknownHangUps = 1024
+	clockOffset       = 24 * time.Hour // controller's time at start; above 0, as switches may have started before
 )
 
-// Core runs calls. Make one with New.
+// Core runs calls. Create it with New.
 type Core struct {
-	opt         Options
-	log         *slog.Logger
-	start       time.Time
-	ctx         context.Context
-	group       *errgroup.Group // the calls
-	side        errgroup.Group  // what nobody waits for but Close; begun under mu, and not once closed
-	unknownEnds chan unknownEnd // hang-ups of calls that are not known here
-
-	mu         sync.Mutex // guards all below
-	brain      *routing.Controller
-	calls      map[uint64]*call
-	names      map[string]*call // the same calls, as the module names them
-	members    map[string]*member
-	ended      map[uint64]time.Time // calls that were answered and are over
-	swept      time.Time
-	unanswered int              // calls that wait for their final answer
-	changed    chan struct{}    // closed when unanswered or len(calls) falls
-	draining   map[*member]bool // switches that were removed, whose links are still open
-	stopped    bool             // no new calls
-	expired    chan struct{}    // closed when the unanswered calls are to be failed
-	closed     bool
+	options        Options
+	log            *slog.Logger
+	startTime      time.Time
+	ctx            context.Context
+	callGroup      *errgroup.Group    // goroutines of the calls
+	background     errgroup.Group     // waited for by Close only; started under mu while closed is unset
+	unknownHangUps chan unknownHangUp // hang-ups of unknown calls, for releaseUnknownCalls
+
+	mu              sync.Mutex // guards the fields below
+	controller      *routing.Controller
+	calls           map[uint64]*callState
+	callsByName     map[string]*callState // the same calls, by their names for the controller
+	switches        map[string]*listedSwitch
+	endedCalls      map[uint64]time.Time // recently ended calls, with the time of their end
+	lastSweep       time.Time
+	unanswered      int                    // calls whose final answer is pending
+	changed         chan struct{}          // closed and replaced when unanswered or len(calls) falls
+	removedSwitches map[*listedSwitch]bool // removed switches whose links are still open
+	stopped         bool                   // set by StopAccepting
+	shutdown        chan struct{}          // closed by FailUnanswered
+	closed          bool
 }
 
-type member struct {
+type listedSwitch struct {
 	Switch
-	link     Link
-	source   string
-	graceful bool // it was removed, and its link stays until nothing stands there
+	link              Link
+	source            string
+	removedGracefully bool // the link stays open until no call uses it
 }
 
-// unknownEnd is the hang-up of a call that is not known here.
-type unknownEnd struct {
+// unknownHangUp is the hang-up of a call that this core does not know.
+type unknownHangUp struct {
 	id    uint64
 	links []Link
 }
 
-// New makes a core that runs until the context ends.
-func New(ctx context.Context, opt Options) (*Core, error) {
-	b, err := routing.New(opt.Settings, opt.Seed)
+// New returns a core that runs until the context ends.
+func New(ctx context.Context, options Options) (*Core, error) {
+	controller, err := routing.New(options.Settings, options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if opt.Log == nil {
-		opt.Log = slog.New(slog.DiscardHandler)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	if opt.Observer == nil {
-		opt.Observer = unobserved{}
+	if options.Observer == nil {
+		options.Observer = discardObserver{}
 	}
-	if opt.MaxCalls <= 0 {
-		opt.MaxCalls = 8192
+	if options.MaxCalls <= 0 {
+		options.MaxCalls = 8192
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	c := &Core{opt: opt, log: opt.Log, start: time.Now(), ctx: ctx, group: g, brain: b,
-		calls: map[uint64]*call{}, names: map[string]*call{}, members: map[string]*member{}, draining: map[*member]bool{},
-		ended: map[uint64]time.Time{}, changed: make(chan struct{}), expired: make(chan struct{}), unknownEnds: make(chan unknownEnd, maxUnknownEnds)}
-	c.side.Go(c.hangUpUnknown)
+	group, ctx := errgroup.WithContext(ctx)
+	c := &Core{options: options, log: options.Log, startTime: time.Now(), ctx: ctx, callGroup: group,
+		controller: controller,
+		calls:      map[uint64]*callState{}, callsByName: map[string]*callState{},
+		switches: map[string]*listedSwitch{}, removedSwitches: map[*listedSwitch]bool{},
+		endedCalls: map[uint64]time.Time{}, changed: make(chan struct{}), shutdown: make(chan struct{}),
+		unknownHangUps: make(chan unknownHangUp, maxUnknownHangUps)}
+	c.background.Go(c.releaseUnknownCalls)
 	return c, nil
 }
 
-// clock turns a time into the module's.
-func (c *Core) clock(t time.Time) time.Duration { return epoch + t.Sub(c.start) }
+// controllerTime converts a time to the controller's clock.
+func (c *Core) controllerTime(t time.Time) time.Duration { return clockOffset + t.Sub(c.startTime) }
 
-// tell hands the module an event and its actions to those they are for.
-func (c *Core) tell(ev routing.Event) {
+// handleEvent passes an event to the controller and executes the actions it returns.
+func (c *Core) handleEvent(ev routing.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tellLocked(ev)
+	c.handleEventLocked(ev)
 }
 
-func (c *Core) tellLocked(ev routing.Event) {
-	for _, a := range c.brain.Handle(c.clock(time.Now()), ev) {
+// handleEventLocked is handleEvent with the lock held.
+func (c *Core) handleEventLocked(ev routing.Event) {
+	for _, a := range c.controller.Handle(c.controllerTime(time.Now()), ev) {
 		switch a := a.(type) {
 		case routing.Send:
-			c.hand(a.Call, a)
+			c.deliverAction(a.Call, a)
 		case routing.Refuse:
-			c.hand(a.Call, a)
+			c.deliverAction(a.Call, a)
 		case routing.Fail:
-			c.hand(a.Call, a)
+			c.deliverAction(a.Call, a)
 		case routing.Cancel:
-			c.hand(a.Call, a)
+			c.deliverAction(a.Call, a)
 		case routing.SetTimer:
 			time.AfterFunc(a.After, func() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if !c.closed {
-					c.tellLocked(routing.TimerFired{})
+					c.handleEventLocked(routing.TimerFired{})
 				}
 			})
 		case routing.Log:
-			c.log.Info("module", "text", a.Text)
+			c.log.Info("controller", "text", a.Text)
 		}
 	}
 }
 
-func (c *Core) hand(name string, a routing.Action) {
-	k := c.names[name]
-	if k == nil {
+// deliverAction passes an action to the goroutine of its call. It never blocks. The lock is held.
+func (c *Core) deliverAction(name string, action routing.Action) {
+	call := c.callsByName[name]
+	if call == nil {
 		return
 	}
 	select {
-	case k.actions <- a:
+	case call.actions <- action:
 	default:
-		// A call gets at most a send, a cancel and an answer between two events of
-		// its own; more is a fault of the module.
-		c.log.Error("too many actions for a call", "call", name, "action", fmt.Sprintf("%T", a))
+		// A call gets at most a send, a cancel and a final answer between two of its own
+		// events; more is a bug in the controller.
+		c.log.Error("action queue of a call is full", "call", name, "action", fmt.Sprintf("%T", action))
 	}
 }
 
-// ApplyPlan tells the module of weights worked out ahead, valid until a time.
+// ApplyPlan passes precomputed routing weights to the controller, valid until the given time.
 func (c *Core) ApplyPlan(e routing.PlanUpdated, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		e.ValidUntil = c.clock(until)
-		c.tellLocked(e)
+		e.ValidUntil = c.controllerTime(until)
+		c.handleEventLocked(e)
 	}
 }
 
-// Offer takes a call. It fails if the call is known already or there is no
-// room; the caller is then owed its answer by the front.
-func (c *Core) Offer(s *SetUp, from Caller) error {
-	k := newCall(c, s, from)
+// Offer accepts a call. It returns ErrDuplicateCall if the call is already known, and
+// ErrBusy if there is no room or the core is stopping; the front end must then give the
+// final answer itself.
+func (c *Core) Offer(setUp *SetUp, caller Caller) error {
+	call := newCall(c, setUp, caller)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.stopped || len(c.calls) >= c.opt.MaxCalls {
-		k.leave()
+	if c.closed || c.stopped || len(c.calls) >= c.options.MaxCalls {
+		call.leave()
 		return ErrBusy
 	}
-	if c.calls[s.ID] != nil {
-		k.leave()
+	if c.calls[setUp.ID] != nil {
+		call.leave()
 		return ErrDuplicateCall
 	}
-	c.calls[s.ID], c.names[k.name] = k, k
-	delete(c.ended, s.ID)
+	c.calls[setUp.ID], c.callsByName[call.name] = call, call
+	delete(c.endedCalls, setUp.ID)
 	c.unanswered++
-	if c.opt.OnAccepted != nil && !s.Transit && !s.AfterCut {
-		c.opt.OnAccepted(s)
+	if c.options.OnAccepted != nil && !setUp.Transit && !setUp.AfterCut {
+		c.options.OnAccepted(setUp)
 	}
-	c.group.Go(func() error {
-		c.serve(k)
+	c.callGroup.Go(func() error {
+		c.serve(call)
 		return nil
 	})
 	return nil
 }
 
-// Errors of Offer.
+// Errors returned by Offer.
 var (
 	ErrBusy          = errors.New("no room for another call")
 	ErrDuplicateCall = errors.New("the call is known already")
 )
 
-// HangUp tells that the caller has given its call up or hung up.
+// HangUp ends a call for its caller: it withdraws the set-up, or releases an established call.
 func (c *Core) HangUp(id uint64) {
 	c.mu.Lock()
-	k := c.calls[id]
-	_, over := c.ended[id]
+	call := c.calls[id]
+	_, ended := c.endedCalls[id]
 	var links []Link
-	if k == nil && !over {
-		// It may have stood since before a restart: its switch is not known then.
-		for _, m := range c.members {
-			links = append(links, m.link)
+	if call == nil && !ended {
+		// The call may have been established before a restart, at a switch that is not known
+		// now, so all switches get the release.
+		for _, sw := range c.switches {
+			links = append(links, sw.link)
 		}
 	}
 	c.mu.Unlock()
-	if k != nil {
-		k.leave()
+	if call != nil {
+		call.leave()
 	}
 	if len(links) == 0 {
 		return
 	}
 	select {
-	case c.unknownEnds <- unknownEnd{id, links}:
+	case c.unknownHangUps <- unknownHangUp{id, links}:
 	default:
-		c.log.Warn("too many hang-ups of calls that are not known here", "call", fmt.Sprintf("%016x", id))
+		c.log.Warn("queue of hang-ups of unknown calls is full", "call", fmt.Sprintf("%016x", id))
 	}
 }
 
-// hangUpUnknown tells every switch of such a call's end. It has a goroutine of
-// its own, as a switch that does not read would hold up the caller's reader.
-func (c *Core) hangUpUnknown() error {
+// releaseUnknownCalls sends the release of each unknown call to every switch. It runs in its
+// own goroutine, as a switch that does not read would block the reader of the caller's
+// connection.
+func (c *Core) releaseUnknownCalls() error {
 	for {
 		select {
-		case end := <-c.unknownEnds:
+		case end := <-c.unknownHangUps:
 			for _, l := range end.links {
 				l.Release(end.id)
 			}
@@ -333,63 +349,65 @@
 	}
 }
 
-// ready says whether a switch takes new set-ups by the list as it is now.
-func (c *Core) ready(m *member) bool {
+// acceptsSetUps reports whether the current list lets a switch receive new set-ups.
+func (c *Core) acceptsSetUps(sw *listedSwitch) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.members[m.ID] == m && m.State == routing.Ready
+	return c.switches[sw.ID] == sw && sw.State == routing.Ready
 }
 
-// Counts returns how many calls wait for an answer and how many stand.
-func (c *Core) Counts() (unanswered, standing int) {
+// Counts returns the number of calls whose final answer is pending and of established calls.
+func (c *Core) Counts() (unanswered, established int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unanswered, len(c.calls) - c.unanswered
 }
 
-// answeredCaller notes that a call's final answer was given.
-func (c *Core) answeredCaller(k *call) {
+// markAnswered records that the final answer of a call was given.
+func (c *Core) markAnswered(call *callState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answeredCallerLocked(k)
+	c.markAnsweredLocked(call)
 }
 
-func (c *Core) answeredCallerLocked(k *call) {
-	if !k.final {
-		k.final = true
+// markAnsweredLocked is markAnswered with the lock held.
+func (c *Core) markAnsweredLocked(call *callState) {
+	if !call.finalAnswerGiven {
+		call.finalAnswerGiven = true
 		c.unanswered--
-		c.wake()
+		c.notifyChanged()
 	}
 }
 
-func (c *Core) wake() {
+// notifyChanged wakes the goroutines in WaitForCalls. The lock is held.
+func (c *Core) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// drop forgets a call that is over, but for its id: what its switch still
-// sends is no news to its caller.
-func (c *Core) drop(k *call) {
+// removeCall removes a call that has ended. Its ID stays in endedCalls for endedRetention, so
+// that later messages of its switch are not taken for those of an unknown call.
+func (c *Core) removeCall(call *callState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answeredCallerLocked(k)
-	close(k.over)
-	delete(c.calls, k.ID)
-	delete(c.names, k.name)
+	c.markAnsweredLocked(call)
+	close(call.done)
+	delete(c.calls, call.ID)
+	delete(c.callsByName, call.name)
 	now := time.Now()
-	if now.Sub(c.swept) > endedMemory/4 || len(c.ended) >= maxEnded {
-		c.swept = now
-		for id, t := range c.ended {
-			if now.Sub(t) > endedMemory {
-				delete(c.ended, id)
+	if now.Sub(c.lastSweep) > endedRetention/4 || len(c.endedCalls) >= maxEndedCalls {
+		c.lastSweep = now
+		for id, t := range c.endedCalls {
+			if now.Sub(t) > endedRetention {
+				delete(c.endedCalls, id)
 			}
 		}
 	}
-	if len(c.ended) < maxEnded {
-		c.ended[k.ID] = now
+	if len(c.endedCalls) < maxEndedCalls {
+		c.endedCalls[call.ID] = now
 	}
-	c.wake()
-	if len(c.draining) > 0 {
-		c.sweepDraining()
+	c.notifyChanged()
+	if len(c.removedSwitches) > 0 {
+		c.closeUnusedLinks()
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,222 +12,229 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// fake is a caller and, by its link, all switches. Its channels tell what it saw.
-type fake struct {
-	sent     chan string // "switch set-up", "switch give-up", "switch release", "close switch"
-	told     chan string // what the caller heard
-	before   func(on func() bool) error
-	stuck    chan struct{} // holds every release to a switch until it closes
-	unproven string        // the switch whose calls may be over
+// fakeNetwork is the caller of every call and, through fakeLink, all switches. Its channels
+// record what each side received.
+type fakeNetwork struct {
+	toSwitches    chan string                     // "ID set-up", "ID cancel", "ID release", "close ID"
+	toCaller      chan string                     // "answer DESCRIPTION", "refused", "failed", "cut", "ended"
+	beforeSend    func(maySend func() bool) error // runs in each Link.SetUp, if set
+	blockRelease  chan struct{}                   // if set, releases to switches block until it is closed
+	failingSwitch string                          // ID of the switch whose probes fail
 }
 
 type fakeLink struct {
-	f  *fake
-	id string
+	network *fakeNetwork
+	id      string
 }
 
-func (l fakeLink) SetUp(_ context.Context, _ *SetUp, _ time.Time, mayGo func() bool) error {
-	if l.f.before != nil {
-		if err := l.f.before(mayGo); err != nil {
+func (link fakeLink) SetUp(_ context.Context, _ *SetUp, _ time.Time, maySend func() bool) error {
+	if link.network.beforeSend != nil {
+		if err := link.network.beforeSend(maySend); err != nil {
 			return err
 		}
 	}
-	l.f.sent <- l.id + " set-up"
+	link.network.toSwitches <- link.id + " set-up"
 	return nil
 }
-func (l fakeLink) CancelSetUp(uint64) { l.f.sent <- l.id + " give-up" }
-func (l fakeLink) Release(uint64) {
-	if l.f.stuck != nil {
-		<-l.f.stuck
+func (link fakeLink) CancelSetUp(uint64) { link.network.toSwitches <- link.id + " cancel" }
+func (link fakeLink) Release(uint64) {
+	if link.network.blockRelease != nil {
+		<-link.network.blockRelease
 	}
-	l.f.sent <- l.id + " release"
+	link.network.toSwitches <- link.id + " release"
 }
-func (l fakeLink) ProbeEarlyUntil(time.Time) {}
-func (l fakeLink) ProbeFailing() bool        { return l.f.unproven == l.id }
-func (l fakeLink) StopDialing()              {}
-func (l fakeLink) SetDraining(bool)          {}
-func (l fakeLink) Close()                    { l.f.sent <- "close " + l.id }
+func (link fakeLink) ProbeEarlyUntil(time.Time) {}
+func (link fakeLink) ProbeFailing() bool        { return link.network.failingSwitch == link.id }
+func (link fakeLink) StopDialing()              {}
+func (link fakeLink) SetDraining(bool)          {}
+func (link fakeLink) Close()                    { link.network.toSwitches <- "close " + link.id }
 
-func (f *fake) Answer(_ uint64, d []byte) error      { f.told <- "answer " + string(d); return nil }
-func (f *fake) Refuse(_ uint64, again time.Duration) { f.told <- "refused" }
-func (f *fake) Fail(uint64)                          { f.told <- "failed" }
-func (f *fake) Release(_ uint64, cut bool) {
-	f.told <- map[bool]string{true: "cut", false: "ended"}[cut]
+func (network *fakeNetwork) Answer(_ uint64, description []byte) error {
+	network.toCaller <- "answer " + string(description)
+	return nil
+}
+func (network *fakeNetwork) Refuse(_ uint64, retryAfter time.Duration) { network.toCaller <- "refused" }
+func (network *fakeNetwork) Fail(uint64)                               { network.toCaller <- "failed" }
+func (network *fakeNetwork) Release(_ uint64, cut bool) {
+	network.toCaller <- map[bool]string{true: "cut", false: "ended"}[cut]
 }
 
-func newCore(t *testing.T) (*Core, *fake) {
-	f := &fake{sent: make(chan string, 64), told: make(chan string, 64)}
+func newCore(t *testing.T) (*Core, *fakeNetwork) {
+	network := &fakeNetwork{toSwitches: make(chan string, 64), toCaller: make(chan string, 64)}
 	class := routing.Class{GoalTime: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Width: 1}
 	c, err := New(t.Context(), Options{
 		Settings: routing.Settings{OwnExchange: 0, FleetSize: 2, MaxAttempts: 5, ReleaseDelay: 20 * time.Millisecond,
 			CancelAllowed: true, Classes: []routing.Class{class}},
-		OpenLink: func(m Switch, _ *SwitchHandler) (Link, error) { return fakeLink{f, m.ID}, nil }})
+		OpenLink: func(sw Switch, _ *SwitchHandler) (Link, error) { return fakeLink{network, sw.ID}, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return c, f
+	return c, network
 }
 
-// peerOf is a switch, listed or draining, as its link sees the core.
-func peerOf(t *testing.T, c *Core, id string) *SwitchHandler {
+// handlerOf returns a handler for the events of a switch that is listed or whose link is still open.
+func handlerOf(t *testing.T, c *Core, id string) *SwitchHandler {
 	t.Helper()
-	for _, m := range c.allMembers() {
-		if m.ID == id {
-			return &SwitchHandler{c, m, id}
+	for _, sw := range c.openSwitches() {
+		if sw.ID == id {
+			return &SwitchHandler{c, sw, id}
 		}
 	}
 	t.Fatalf("no switch %s", id)
 	return nil
 }
 
-func (f *fake) want(t *testing.T, from chan string, wants ...string) {
+func (network *fakeNetwork) expect(t *testing.T, events chan string, wants ...string) {
 	t.Helper()
 	for _, want := range wants {
 		select {
-		case got := <-from:
+		case got := <-events:
 			if got != want {
 				t.Fatalf("got %q, want %q", got, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("nothing came, want %q", want)
+			t.Fatalf("no event, want %q", want)
 		}
 	}
 }
 
-func offer(t *testing.T, c *Core, f *fake, id uint64, dest int) {
+func offer(t *testing.T, c *Core, network *fakeNetwork, id uint64, dest int) {
 	t.Helper()
-	if err := c.Offer(&SetUp{ID: id, Number: "100", Dest: dest, Width: 1, Deadline: time.Now().Add(15 * time.Second)}, f); err != nil {
+	if err := c.Offer(&SetUp{ID: id, Number: "100", Dest: dest, Width: 1,
+		Deadline: time.Now().Add(15 * time.Second)}, network); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func list(c *Core, graceful bool, ms ...Switch) {
-	c.ApplyList(SwitchList{Source: "test", Switches: ms, Graceful: graceful})
+func applyList(c *Core, graceful bool, switches ...Switch) {
+	c.ApplyList(SwitchList{Source: "test", Switches: switches, Graceful: graceful})
 }
 
-// A dial may outlast a drain: the list is asked again just before the first
-// byte, and what may not go is not sent.
+// A switch may start to drain while it is dialled: the list is checked again just before the
+// first byte, and the set-up is then not sent.
 func TestDrainDuringADialHoldsTheSetUpBack(t *testing.T) {
-	c, f := newCore(t)
+	c, network := newCore(t)
 	a := Switch{ID: "a", Addr: "x", Exchange: 1}
-	list(c, false, a)
-	f.before = func(mayGo func() bool) error {
+	applyList(c, false, a)
+	network.beforeSend = func(maySend func() bool) error {
 		a.State = routing.Draining
-		list(c, false, a)
-		if mayGo() {
-			t.Error("a set-up may go to a switch that drains")
+		applyList(c, false, a)
+		if maySend() {
+			t.Error("maySend allowed a set-up to a draining switch")
 		}
 		return ErrNotSent
 	}
-	offer(t, c, f, 1, 1)
-	f.want(t, f.told, "refused")
-	if len(f.sent) > 0 {
-		t.Errorf("sent %q", <-f.sent)
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toCaller, "refused")
+	if len(network.toSwitches) > 0 {
+		t.Errorf("sent %q", <-network.toSwitches)
 	}
 }
 
-// Another switch may take the address of one that has gone: the id tells them
-// apart, and the old one's calls are cut without harm to the new one's.
+// Another switch may take over the address of a removed one: the ID distinguishes them, and
+// cutting the calls of the old one does not affect those of the new one.
 func TestAddressTakenByAnotherSwitch(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "old", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "old set-up")
-	peerOf(t, c, "old").Answered(1, []byte("d"))
-	f.want(t, f.told, "answer d")
-	list(c, false, Switch{ID: "old", Addr: "x", Exchange: 1, State: routing.Removed}, Switch{ID: "new", Addr: "x", Exchange: 1})
-	offer(t, c, f, 2, 1)
-	f.want(t, f.sent, "new set-up")
-	f.want(t, f.told, "cut")
-	f.want(t, f.sent, "old release", "close old") // it may stand there yet
-	peerOf(t, c, "new").Answered(2, []byte("e"))
-	f.want(t, f.told, "answer e")
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "old", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "old set-up")
+	handlerOf(t, c, "old").Answered(1, []byte("d"))
+	network.expect(t, network.toCaller, "answer d")
+	applyList(c, false, Switch{ID: "old", Addr: "x", Exchange: 1, State: routing.Removed},
+		Switch{ID: "new", Addr: "x", Exchange: 1})
+	offer(t, c, network, 2, 1)
+	network.expect(t, network.toSwitches, "new set-up")
+	network.expect(t, network.toCaller, "cut")
+	network.expect(t, network.toSwitches, "old release", "close old") // the old switch may still have the call
+	handlerOf(t, c, "new").Answered(2, []byte("e"))
+	network.expect(t, network.toCaller, "answer e")
 }
 
-// A process that the list says was started anew has lost its calls.
+// A switch whose process was restarted according to the list has lost its calls.
 func TestRestartedSwitchCutsItsCalls(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
-	peerOf(t, c, "a").Answered(1, nil)
-	f.want(t, f.told, "answer ")
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: time.Now()})
-	f.want(t, f.told, "cut")
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
+	handlerOf(t, c, "a").Answered(1, nil)
+	network.expect(t, network.toCaller, "answer ")
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: time.Now()})
+	network.expect(t, network.toCaller, "cut")
 }
 
-// A switch that leaves an inventory may still run: its calls go on, its link
-// closes with the last of them.
-func TestGracefulRemovalKeepsStandingCalls(t *testing.T) {
-	c, f := newCore(t)
-	list(c, true, Switch{ID: "a", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
-	peerOf(t, c, "a").Answered(1, nil)
-	f.want(t, f.told, "answer ")
+// A switch removed from an inventory may still run: its established calls go on, and its link
+// is closed after the last of them.
+func TestGracefulRemovalKeepsEstablishedCalls(t *testing.T) {
+	c, network := newCore(t)
+	applyList(c, true, Switch{ID: "a", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
+	handlerOf(t, c, "a").Answered(1, nil)
+	network.expect(t, network.toCaller, "answer ")
 	c.ApplyList(SwitchList{Source: "test", Full: true, Graceful: true})
-	offer(t, c, f, 2, 1)
-	f.want(t, f.told, "refused")
-	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
-	f.want(t, f.told, "ended")
-	f.want(t, f.sent, "close a")
+	offer(t, c, network, 2, 1)
+	network.expect(t, network.toCaller, "refused")
+	handlerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
+	network.expect(t, network.toCaller, "ended")
+	network.expect(t, network.toSwitches, "close a")
 }
 
-// A switch that repeats an answer or a release, or answers late, changes nothing.
+// Repeated answers and releases, and late answers, have no effect.
 func TestRepeatsAndLateAnswers(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
-	if peerOf(t, c, "b").Answered(1, nil) != Late || peerOf(t, c, "a").Answered(1, nil) != Accepted || peerOf(t, c, "a").Answered(1, nil) != Duplicate || peerOf(t, c, "a").Answered(9, nil) != UnknownCall {
-		t.Error("an answer counts once, and only from where the set-up is")
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
+	if handlerOf(t, c, "b").Answered(1, nil) != Late || handlerOf(t, c, "a").Answered(1, nil) != Accepted ||
+		handlerOf(t, c, "a").Answered(1, nil) != Duplicate || handlerOf(t, c, "a").Answered(9, nil) != UnknownCall {
+		t.Error("an answer was accepted twice, or from a switch without the outstanding set-up")
 	}
-	f.want(t, f.told, "answer ")
-	peerOf(t, c, "b").Ended(1, Outcome{Result: routing.Ended})
-	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
-	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
-	f.want(t, f.told, "ended")
+	network.expect(t, network.toCaller, "answer ")
+	handlerOf(t, c, "b").Ended(1, Outcome{Result: routing.Ended})
+	handlerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
+	handlerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
+	network.expect(t, network.toCaller, "ended")
 	if err := c.WaitForCalls(t.Context(), true); err != nil {
 		t.Fatal(err)
 	}
-	if len(f.told)+len(f.sent) > 0 {
-		t.Error("more was said than once")
+	if len(network.toCaller)+len(network.toSwitches) > 0 {
+		t.Error("a repeated release was passed on")
 	}
 }
 
-// After a reset the call rests before it goes again.
-func TestRestAfterReset(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
+// After a reset, the next attempt waits for the retry backoff.
+func TestBackoffAfterReset(t *testing.T) {
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
 	began := time.Now()
-	peerOf(t, c, "a").Ended(1, Outcome{Result: routing.Reset})
-	f.want(t, f.sent, "a set-up")
+	handlerOf(t, c, "a").Ended(1, Outcome{Result: routing.Reset})
+	network.expect(t, network.toSwitches, "a set-up")
 	if d := time.Since(began); d < 20*time.Millisecond {
-		t.Errorf("sent again after %v", d)
+		t.Errorf("next attempt after %v", d)
 	}
 	c.HangUp(1)
-	f.want(t, f.sent, "a give-up")
-	if err := c.WaitForCalls(t.Context(), true); err != nil || len(f.told) > 0 {
-		t.Errorf("%v; a caller that left is owed nothing and heard %d words", err, len(f.told))
+	network.expect(t, network.toSwitches, "a cancel")
+	if err := c.WaitForCalls(t.Context(), true); err != nil || len(network.toCaller) > 0 {
+		t.Errorf("%v; a caller that left received %d events", err, len(network.toCaller))
 	}
 }
 
-// The core imports no front and no wire.
+// The core imports no front end and no network package.
 func TestImports(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatal(err)
 	}
 	for _, name := range files {
-		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, im := range f.Imports {
-			path := strings.Trim(im.Path.Value, `"`)
+		for _, spec := range file.Imports {
+			path := strings.Trim(spec.Path.Value, `"`)
 			if strings.HasPrefix(path, "violetspan.example/") && path != "violetspan.example/violetspan/routing" ||
 				strings.HasPrefix(path, "net") {
 				t.Errorf("%s imports %s", name, path)
@@ -236,29 +243,29 @@
 	}
 }
 
-// Guards against a switch that does not read: a hang-up of a call that is not
-// known here goes to it too, and held its caller's reader up for each write.
+// The hang-up of an unknown call is sent to every switch. Guards against a switch that does not
+// read blocking the reader of the caller's connection for each of these writes.
 func TestUnknownHangUpsDoNotWaitForSwitches(t *testing.T) {
-	c, f := newCore(t)
-	f.stuck = make(chan struct{})
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+	c, network := newCore(t)
+	network.blockRelease = make(chan struct{})
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
 	for id := range uint64(3) {
-		c.HangUp(id) // hangs here if it writes itself
+		c.HangUp(id) // blocks here if HangUp writes to the switch itself
 	}
-	close(f.stuck)
-	f.want(t, f.sent, "a release", "a release", "a release")
+	close(network.blockRelease)
+	network.expect(t, network.toSwitches, "a release", "a release", "a release")
 }
 
-// Guards against a hang-up that is lost at an exit, and against an exit that
-// hangs up what stands: its release is passed on by the next proxy.
+// Guards against a hang-up that is lost when the proxy exits, and against an exit that hangs
+// up established calls: the next proxy forwards their releases.
 func TestCloseReleasesOnlyWhatWasHungUp(t *testing.T) {
 	for _, hungUp := range []bool{true, false} {
-		c, f := newCore(t)
-		list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
-		offer(t, c, f, 1, 1)
-		f.want(t, f.sent, "a set-up")
-		peerOf(t, c, "a").Answered(1, []byte("d"))
-		f.want(t, f.told, "answer d")
+		c, network := newCore(t)
+		applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+		offer(t, c, network, 1, 1)
+		network.expect(t, network.toSwitches, "a set-up")
+		handlerOf(t, c, "a").Answered(1, []byte("d"))
+		network.expect(t, network.toCaller, "answer d")
 		if hungUp {
 			c.HangUp(1)
 		}
@@ -266,91 +273,92 @@
 			t.Error(err)
 		}
 		if hungUp {
-			f.want(t, f.sent, "a release")
+			network.expect(t, network.toSwitches, "a release")
 		}
-		f.want(t, f.sent, "close a")
+		network.expect(t, network.toSwitches, "close a")
 	}
 }
 
-// Guards against attempts that stay out for good in the module's view: a caller
-// who has left when the module orders a send. A few of them closed a switch to
-// all calls, as hundreds of set-ups that are taken back at once did.
-func TestCallsTakenBackAtOnceLeaveNothingOut(t *testing.T) {
-	c, f := newCore(t)
+// Guards against attempts that the controller counts as outstanding forever: the caller has
+// left when the controller orders a send. A few such attempts closed a switch to all calls,
+// which happened with hundreds of set-ups that were withdrawn immediately.
+func TestWithdrawnCallsLeaveNoAttemptOutstanding(t *testing.T) {
+	c, network := newCore(t)
 	id := uint64(0)
-	for n, name := range []string{1: "a", "b", "d"} {
-		if n == 0 {
+	for exchange, name := range []string{1: "a", "b", "d"} {
+		if exchange == 0 {
 			continue // the own exchange
 		}
-		list(c, false, Switch{ID: name, Addr: "x", Exchange: n})
-		for range 9 { // one less than the credit at the start
+		applyList(c, false, Switch{ID: name, Addr: "x", Exchange: exchange})
+		for range 9 { // one less than the initial credit
 			id++
-			k := newCall(c, &SetUp{ID: id, Number: "100", Dest: n, Width: 1, Deadline: time.Now().Add(15 * time.Second)}, f)
+			call := newCall(c, &SetUp{ID: id, Number: "100", Dest: exchange, Width: 1,
+				Deadline: time.Now().Add(15 * time.Second)}, network)
 			c.mu.Lock()
-			c.calls[id], c.names[k.name] = k, k
+			c.calls[id], c.callsByName[call.name] = call, call
 			c.unanswered++
 			c.mu.Unlock()
-			k.leave()
-			c.serve(k)
+			call.leave()
+			c.serve(call)
 		}
-		offer(t, c, f, 1000+id, n)
-		f.want(t, f.sent, name+" set-up")
+		offer(t, c, network, 1000+id, exchange)
+		network.expect(t, network.toSwitches, name+" set-up")
 	}
 }
 
-// Guards against callers who are never told: a proxy that stops ends what stands at
-// switches that may be gone, and leaves the rest to the next one.
-func TestUnprovenCallsEndWithTheProxy(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
+// Guards against callers who are never notified: a proxy that stops ends the calls established
+// at switches whose probes fail, and leaves the others to the next proxy.
+func TestUnverifiedCallsEndWithTheProxy(t *testing.T) {
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1}, Switch{ID: "b", Addr: "y", Exchange: 2})
 	for id, name := range map[uint64]string{1: "a", 2: "b"} {
-		offer(t, c, f, id, int(id))
-		f.want(t, f.sent, name+" set-up")
-		peerOf(t, c, name).Answered(id, nil)
-		f.want(t, f.told, "answer ")
+		offer(t, c, network, id, int(id))
+		network.expect(t, network.toSwitches, name+" set-up")
+		handlerOf(t, c, name).Answered(id, nil)
+		network.expect(t, network.toCaller, "answer ")
 	}
-	f.unproven = "a"
+	network.failingSwitch = "a"
 	c.EndUnverifiedCalls(t.Context())
-	f.want(t, f.told, "cut")
-	f.want(t, f.sent, "a release")
-	if len(f.told) > 0 {
-		t.Errorf("told %q: what stands at a switch that lives goes on", <-f.told)
+	network.expect(t, network.toCaller, "cut")
+	network.expect(t, network.toSwitches, "a release")
+	if len(network.toCaller) > 0 {
+		t.Errorf("caller received %q: a call at a responding switch was ended", <-network.toCaller)
 	}
 }
 
-// Guards against set-ups that a kill finds: what is unanswered is failed before.
+// Guards against set-ups without a final answer when the proxy is killed: they are failed before.
 func TestUnansweredCallsFailBeforeTheKill(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
 	c.StopAccepting()
 	c.FailUnanswered()
-	f.want(t, f.sent, "a give-up")
-	f.want(t, f.told, "failed")
-	if err := c.WaitForCalls(t.Context(), true); err != nil || len(f.told) > 0 {
-		t.Errorf("%v; %d more answers", err, len(f.told))
+	network.expect(t, network.toSwitches, "a cancel")
+	network.expect(t, network.toCaller, "failed")
+	if err := c.WaitForCalls(t.Context(), true); err != nil || len(network.toCaller) > 0 {
+		t.Errorf("%v; %d more answers", err, len(network.toCaller))
 	}
 }
 
-// A list that comes late cuts only what stood before the restart that it tells of; and a
-// switch that another one's address is given to has gone, told or not.
-func TestLateListsCutWhatStoodBefore(t *testing.T) {
-	c, f := newCore(t)
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
-	offer(t, c, f, 1, 1)
-	f.want(t, f.sent, "a set-up")
+// A late list cuts only the calls established before the restart that it reports. A switch
+// whose address is given to another switch is removed, even if the list does not say so.
+func TestLateListCutsOnlyEarlierCalls(t *testing.T) {
+	c, network := newCore(t)
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1})
+	offer(t, c, network, 1, 1)
+	network.expect(t, network.toSwitches, "a set-up")
 	restarted := time.Now()
 	time.Sleep(time.Millisecond)
-	peerOf(t, c, "a").Answered(1, nil)
-	f.want(t, f.told, "answer ")
-	list(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: restarted})
-	if _, standing := c.Counts(); standing != 1 || len(f.told) > 0 {
-		t.Fatalf("%d calls stand: one that was set up after the restart was cut", standing)
+	handlerOf(t, c, "a").Answered(1, nil)
+	network.expect(t, network.toCaller, "answer ")
+	applyList(c, false, Switch{ID: "a", Addr: "x", Exchange: 1, Started: restarted})
+	if _, established := c.Counts(); established != 1 || len(network.toCaller) > 0 {
+		t.Fatalf("%d calls established: one that was set up after the restart was cut", established)
 	}
-	list(c, false, Switch{ID: "b", Addr: "x", Exchange: 1})
-	f.want(t, f.told, "cut")
-	f.want(t, f.sent, "a release", "close a")
-	offer(t, c, f, 2, 1)
-	f.want(t, f.sent, "b set-up")
+	applyList(c, false, Switch{ID: "b", Addr: "x", Exchange: 1})
+	network.expect(t, network.toCaller, "cut")
+	network.expect(t, network.toSwitches, "a release", "close a")
+	offer(t, c, network, 2, 1)
+	network.expect(t, network.toSwitches, "b set-up")
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -2,39 +2,39 @@
 
 import "violetspan.example/violetspan/routing"
 
-// FinalAnswer is what a caller was told of its set-up.
+// FinalAnswer is the final answer that a caller got for its set-up.
 type FinalAnswer int
 
-// The final answers.
+// The final answers. Their String values are metric labels.
 const (
 	AnswerEstablished  FinalAnswer = iota
-	AnswerRefused                  // turned away by the policy
-	AnswerFailed                   // failed by the policy
-	AnswerOverdue                  // failed by the core: the policy did not decide in time
-	AnswerCallerLeft               // the caller left first
-	AnswerNotDelivered             // its connection broke while it was written
-	AnswerShutdown                 // failed by the core: the proxy is about to end
+	AnswerRefused                  // refused by the controller
+	AnswerFailed                   // failed by the controller
+	AnswerOverdue                  // failed by the core: the controller did not decide in time
+	AnswerCallerLeft               // none: the caller withdrew the set-up first
+	AnswerNotDelivered             // the caller's connection broke while the answer was written
+	AnswerShutdown                 // failed by the core: the proxy is about to exit
 )
 
 func (a FinalAnswer) String() string {
 	return [...]string{"stands", "refused", "failed", "overdue", "caller_left", "not_delivered", "shutdown"}[a]
 }
 
-// EndReason is why a call that stood is over.
+// EndReason is why an established call ended.
 type EndReason int
 
-// The reasons.
+// The end reasons. Their String values are metric labels.
 const (
-	EndReleased     EndReason = iota // its switch said that it has come to its end
-	EndCutBySwitch                   // its switch said that it was cut
+	EndReleased     EndReason = iota // its switch reported a normal end
+	EndCutBySwitch                   // its switch reported that it was cut
 	EndHungUp                        // its caller hung up
-	EndProcessGone                   // its switch refuses connections, or another has its address
-	EndUnreachable                   // its switch was not heard of for too long
-	EndRemoved                       // the list says that its switch has gone
-	EndRestarted                     // the list says that its switch was started anew
-	EndShutdown                      // this proxy stops, and no other could tell its caller
-	EndHandedOver                    // this proxy stopped; it stands on, and the next one passes its release on
-	EndNotDelivered                  // its answer did not reach its caller
+	EndProcessGone                   // its switch refuses connections, or another switch has its address
+	EndUnreachable                   // its switch was silent for too long
+	EndRemoved                       // its switch was removed from the list
+	EndRestarted                     // the list has a later start time for its switch
+	EndShutdown                      // this proxy stops, and no other process could notify the caller
+	EndHandedOver                    // this proxy stopped; the next one forwards the call's release
+	EndNotDelivered                  // its answer did not reach the caller
 )
 
 func (r EndReason) String() string {
@@ -42,8 +42,9 @@
 		"switch_removed", "switch_restarted", "shutdown", "left_to_next", "not_delivered"}[r]
 }
 
-// judgedHere says whether the switch did not say so itself and may not know it.
-func (r EndReason) judgedHere() bool {
+// decidedLocally reports whether this proxy ended the call by itself, so that the switch may
+// still have it.
+func (r EndReason) decidedLocally() bool {
 	switch r {
 	case EndUnreachable, EndRemoved, EndRestarted, EndShutdown:
 		return true
@@ -51,19 +52,21 @@
 	return false
 }
 
-// Observer is told what becomes of calls. Its methods must not block and may be
-// called by several goroutines, also under the core's lock.
+// Observer counts the results of calls and attempts. Its methods must not block. They may be
+// called concurrently, also with the core's lock held.
 type Observer interface {
 	FinalAnswer(a FinalAnswer)
 	CallEnded(r EndReason)
 	AttemptEnded(r routing.Result)
+	// SetUpHeldBack counts a Send of the controller that was not executed, as it would have
+	// broken a rule.
 	SetUpHeldBack()
 }
 
-// unobserved is the Observer of a Core that has none.
-type unobserved struct{}
+// discardObserver is the default Observer; it does nothing.
+type discardObserver struct{}
 
-func (unobserved) FinalAnswer(FinalAnswer)     {}
-func (unobserved) CallEnded(EndReason)         {}
-func (unobserved) AttemptEnded(routing.Result) {}
-func (unobserved) SetUpHeldBack()              {}
+func (discardObserver) FinalAnswer(FinalAnswer)     {}
+func (discardObserver) CallEnded(EndReason)         {}
+func (discardObserver) AttemptEnded(routing.Result) {}
+func (discardObserver) SetUpHeldBack()              {}
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// StopAccepting lets no new call in.
+// StopAccepting makes Offer refuse new calls.
 func (c *Core) StopAccepting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopped = true
 }
 
-// FailUnanswered gives every call that waits for its final answer that it failed. A proxy
-// that is about to be killed does so: its callers would wait in vain.
+// FailUnanswered fails every call whose final answer is pending. A proxy calls it before it
+// is killed, as the callers would otherwise get no answer.
 func (c *Core) FailUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.expired:
+	case <-c.shutdown:
 	default:
-		close(c.expired)
+		close(c.shutdown)
 	}
 }
 
-// EndUnverifiedCalls ends the calls that stand at switches of which nothing was heard for some
-// time, and returns once their callers were told. A proxy does so before it stops: nobody
-// else knows of these calls, and if they are over no release will say so.
+// EndUnverifiedCalls ends the calls established at silent switches whose probes fail, and
+// returns when their callers have been notified. A proxy calls it before it stops: no other
+// process knows these calls, and if they have ended, no release will arrive.
 func (c *Core) EndUnverifiedCalls(ctx context.Context) {
-	var cut []*call
-	for _, m := range c.allMembers() {
-		if m.link.ProbeFailing() {
+	var cut []*callState
+	for _, sw := range c.openSwitches() {
+		if sw.link.ProbeFailing() {
 			c.mu.Lock()
-			cut = append(cut, c.cutAll(m, EndShutdown, time.Now())...)
+			cut = append(cut, c.cutCalls(sw, EndShutdown, time.Now())...)
 			c.mu.Unlock()
 		}
 	}
-	for _, k := range cut {
+	for _, call := range cut {
 		select {
-		case <-k.over:
+		case <-call.done:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// WaitForCalls waits until no call waits for its answer, and with standing set, until
-// none stands either.
-func (c *Core) WaitForCalls(ctx context.Context, standing bool) error {
+// WaitForCalls waits until no final answer is pending and, if established is set, until no
+// call is established either. It returns the context's error if that ends first.
+func (c *Core) WaitForCalls(ctx context.Context, established bool) error {
 	for {
 		c.mu.Lock()
-		done, ch := c.unanswered == 0 && !(standing && len(c.calls) > 0), c.changed
+		done, ch := c.unanswered == 0 && !(established && len(c.calls) > 0), c.changed
 		c.mu.Unlock()
 		if done {
 			return nil
@@ -64,38 +64,40 @@
 	}
 }
 
-// Close ends the core: its links close and its calls' goroutines return.
+// Close ends the goroutines of all calls, closes all links and waits for both. Established
+// calls go on at their switches.
 func (c *Core) Close() error {
 	c.mu.Lock()
 	c.closed = true
-	for _, k := range c.calls {
-		if k.ctx.Err() == nil {
-			k.shut = true // nobody hung up: what stands goes on without this proxy
-			k.leave()
+	for _, call := range c.calls {
+		if call.ctx.Err() == nil {
+			call.handedOver = true // not hung up: an established call goes on without this proxy
+			call.leave()
 		}
 	}
 	c.mu.Unlock()
-	err := c.group.Wait() // ends the context too, and hangUpUnknown with it
+	err := c.callGroup.Wait() // also ends the context, and so releaseUnknownCalls
 	c.mu.Lock()
 	var links []Link
-	for _, m := range c.members {
-		links = append(links, m.link)
+	for _, sw := range c.switches {
+		links = append(links, sw.link)
 	}
-	for m := range c.draining {
-		links = append(links, m.link)
+	for sw := range c.removedSwitches {
+		links = append(links, sw.link)
 	}
-	clear(c.members)
-	clear(c.draining)
+	clear(c.switches)
+	clear(c.removedSwitches)
 	c.mu.Unlock()
 	for _, l := range links {
 		l.Close()
 	}
-	return errors.Join(err, c.side.Wait())
+	return errors.Join(err, c.background.Wait())
 }
 
-// isShut says whether a call was left by Close and by nobody else.
-func (c *Core) isShut(k *call) bool {
+// isHandedOver reports whether a call ended here because of Close, not because its caller
+// hung up.
+func (c *Core) isHandedOver(call *callState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return k.shut || c.ctx.Err() != nil
+	return call.handedOver || c.ctx.Err() != nil
 }
