--- a/cmd/violetspan/cluster.go
+++ b/cmd/violetspan/cluster.go
@@ -66,7 +66,7 @@
 func (c *clusterRevokeCmd) Run() error { return cluster.Revoke(c.Dir, c.Serial) }
 
 func show(dir string) error {
-	k, err := cluster.OpenKeys(dir)
+	k, err := cluster.OpenCredentials(dir)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/entry.go
+++ b/internal/cluster/entry.go
@@ -27,11 +27,11 @@
 // log can't go on: it would hold another state than the others.
 const entryVersion = 1
 
-// MaxEntry bounds an entry, in bytes.
-const MaxEntry = 64 << 10
+// MaxEntryBytes bounds an entry, in bytes.
+const MaxEntryBytes = 64 << 10
 
-// ErrVersion says that an entry or a snapshot is of a later version than this program.
-var ErrVersion = errors.New("cluster: of a later version")
+// ErrUnsupportedVersion says that an entry or a snapshot is of a later version than this program.
+var ErrUnsupportedVersion = errors.New("cluster: of a later version")
 
 // envelope is an entry's form in the log.
 type envelope struct {
@@ -51,8 +51,8 @@
 	return e, err
 }
 
-// Encode writes an entry for the log.
-func Encode(e duty.Entry) ([]byte, error) {
+// EncodeEntry writes an entry for the log.
+func EncodeEntry(e duty.Entry) ([]byte, error) {
 	kind := strings.TrimPrefix(fmt.Sprintf("%T", e), "duty.")
 	if kinds[kind] == nil {
 		return nil, fmt.Errorf("cluster: entry %T", e)
@@ -62,16 +62,16 @@
 		return nil, err
 	}
 	b, err := api.Marshal(envelope{entryVersion, kind, body})
-	if err == nil && len(b) > MaxEntry {
-		err = fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntry)
+	if err == nil && len(b) > MaxEntryBytes {
+		err = fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
 	}
 	return b, err
 }
 
-// Decode reads an entry of the log.
-func Decode(b []byte) (duty.Entry, error) {
-	if len(b) > MaxEntry {
-		return nil, fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntry)
+// DecodeEntry reads an entry of the log.
+func DecodeEntry(b []byte) (duty.Entry, error) {
+	if len(b) > MaxEntryBytes {
+		return nil, fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
 	}
 	var v envelope
 	if err := lenient.Unmarshal(b, &v); err != nil {
@@ -80,7 +80,7 @@
 	read := kinds[v.Kind]
 	switch {
 	case v.V > entryVersion:
-		return nil, fmt.Errorf("%w: entry %d", ErrVersion, v.V)
+		return nil, fmt.Errorf("%w: entry %d", ErrUnsupportedVersion, v.V)
 	case v.V < 1 || read == nil:
 		return nil, fmt.Errorf("cluster: an entry of version %d and kind %q", v.V, v.Kind)
 	}
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -24,8 +24,8 @@
 	FrameMajor  = 1
 	FrameMinor  = 0
 	frameHeader = 16
-	// MaxFrame bounds a payload, in bytes: a snapshot goes in one.
-	MaxFrame = 16 << 20
+	// MaxPayloadBytes bounds a payload, in bytes: a snapshot goes in one.
+	MaxPayloadBytes = 16 << 20
 )
 
 // FrameType is what a frame holds.
@@ -33,9 +33,9 @@
 
 // The types of frames.
 const (
-	FrameHello FrameType = 1 // first each way: who speaks, and which versions it knows
-	FrameRaft  FrameType = 2 // a message of the log
-	FrameBeat  FrameType = 3 // to the leader: the sender spoke, at a time of its own clock
+	FrameHello     FrameType = 1 // first each way: who speaks, and which versions it knows
+	FrameRaft      FrameType = 2 // a message of the log
+	FrameHeartbeat FrameType = 3 // to the leader: the sender spoke, at a time of its own clock
 )
 
 // Frame is one frame.
@@ -47,14 +47,14 @@
 
 // Errors of ReadFrame.
 var (
-	ErrFrame = errors.New("cluster: a malformed frame")
-	ErrMajor = errors.New("cluster: a frame of another major version")
+	ErrMalformedFrame = errors.New("cluster: a malformed frame")
+	ErrMajorVersion   = errors.New("cluster: a frame of another major version")
 )
 
 // AppendFrame adds a frame's bytes to b.
 func AppendFrame(b []byte, f Frame) ([]byte, error) {
-	if len(f.Payload) > MaxFrame {
-		return b, fmt.Errorf("%w: %d bytes, more than %d", ErrFrame, len(f.Payload), MaxFrame)
+	if len(f.Payload) > MaxPayloadBytes {
+		return b, fmt.Errorf("%w: %d bytes, more than %d", ErrMalformedFrame, len(f.Payload), MaxPayloadBytes)
 	}
 	b = binary.BigEndian.AppendUint16(b, frameMagic)
 	b = append(b, FrameMajor, f.Minor, byte(f.Type), 0, 0, 0)
@@ -73,11 +73,11 @@
 	n := binary.BigEndian.Uint32(h[8:])
 	switch {
 	case binary.BigEndian.Uint16(h[:]) != frameMagic:
-		return Frame{}, fmt.Errorf("%w: it begins with %x", ErrFrame, h[:2])
+		return Frame{}, fmt.Errorf("%w: it begins with %x", ErrMalformedFrame, h[:2])
 	case h[2] != FrameMajor:
-		return Frame{}, fmt.Errorf("%w: %d", ErrMajor, h[2])
-	case n > MaxFrame:
-		return Frame{}, fmt.Errorf("%w: a length of %d", ErrFrame, n)
+		return Frame{}, fmt.Errorf("%w: %d", ErrMajorVersion, h[2])
+	case n > MaxPayloadBytes:
+		return Frame{}, fmt.Errorf("%w: a length of %d", ErrMalformedFrame, n)
 	}
 	f := Frame{Minor: h[3], Type: FrameType(h[4])}
 	for left := int(n); left > 0; {
@@ -93,7 +93,7 @@
 		left -= part
 	}
 	if crc32.Checksum(f.Payload, castagnoli) != binary.BigEndian.Uint32(h[12:]) {
-		return Frame{}, fmt.Errorf("%w: a wrong checksum", ErrFrame)
+		return Frame{}, fmt.Errorf("%w: a wrong checksum", ErrMalformedFrame)
 	}
 	return f, nil
 }
@@ -116,13 +116,13 @@
 func (f Frame) Hello() (Hello, error) {
 	var h Hello
 	if f.Type != FrameHello {
-		return h, fmt.Errorf("%w: type %d in place of a hello", ErrFrame, f.Type)
+		return h, fmt.Errorf("%w: type %d in place of a hello", ErrMalformedFrame, f.Type)
 	}
 	if err := lenient.Unmarshal(f.Payload, &h); err != nil {
-		return h, fmt.Errorf("%w: hello: %w", ErrFrame, err)
+		return h, fmt.Errorf("%w: hello: %w", ErrMalformedFrame, err)
 	}
 	if h.Member == 0 || h.Installation == "" || len(h.Installation) > 128 || len(h.Name) > 128 {
-		return h, fmt.Errorf("%w: hello of member %d", ErrFrame, h.Member)
+		return h, fmt.Errorf("%w: hello of member %d", ErrMalformedFrame, h.Member)
 	}
 	return h, nil
 }
@@ -137,20 +137,20 @@
 func (f Frame) Raft() (*pb.Message, error) {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(f.Payload, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFrame, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	return m, nil
 }
 
-// BeatFrame makes the frame of a beat.
-func BeatFrame(at time.Duration) Frame {
-	return Frame{FrameMinor, FrameBeat, number(uint64(at))}
+// HeartbeatFrame makes the frame of a beat.
+func HeartbeatFrame(at time.Duration) Frame {
+	return Frame{FrameMinor, FrameHeartbeat, number(uint64(at))}
 }
 
-// Beat reads a FrameBeat.
-func (f Frame) Beat() (time.Duration, error) {
+// Heartbeat reads a FrameBeat.
+func (f Frame) Heartbeat() (time.Duration, error) {
 	if len(f.Payload) < 8 {
-		return 0, fmt.Errorf("%w: a beat of %d bytes", ErrFrame, len(f.Payload))
+		return 0, fmt.Errorf("%w: a beat of %d bytes", ErrMalformedFrame, len(f.Payload))
 	}
 	return time.Duration(binary.BigEndian.Uint64(f.Payload)), nil
 }
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -28,20 +28,20 @@
 
 // HostConfig is what a Host is made of.
 type HostConfig struct {
-	ID       uint64
-	Name     string
-	Keys     *Keys
-	Listener net.Listener // plain; the host speaks TLS on it
-	Peers    []Peer       // all members, this one included
-	Founder  bool         // this one founds the installation with all of Peers
-	Disk     Disk
-	Duties   []duty.Spec
+	ID          uint64
+	Name        string
+	Credentials *Credentials
+	Listener    net.Listener // plain; the host speaks TLS on it
+	Peers       []Peer       // all members, this one included
+	Bootstrap   bool         // this one founds the installation with all of Peers
+	Storage     Storage
+	Duties      []duty.Spec
 	// Run carries a claim out at its sink, off the host's own goroutine. Its context
 	// ends at the duty's deadline, or when the duty is another's. A panic is an error.
-	Run   func(ctx context.Context, c duty.Claim) error
-	Pool  int           // runs at once; 0: 4
-	Lease time.Duration // 0: 1 s; a member's tick is a twentieth of it
-	Log   *slog.Logger
+	Run               func(ctx context.Context, c duty.Claim) error
+	MaxConcurrentRuns int           // runs at once; 0: 4
+	Lease             time.Duration // 0: 1 s; a member's tick is a twentieth of it
+	Log               *slog.Logger
 }
 
 // Bounds of a host.
@@ -75,7 +75,7 @@
 	heard   map[string]time.Duration
 	running map[duty.Claim]*run
 	runs    sync.WaitGroup
-	counts  Counts
+	counts  Counters
 }
 
 type received struct {
@@ -92,19 +92,19 @@
 	err error
 }
 
-// Counts are of what a host did since its start.
-type Counts struct {
-	Runs, Failed, Fenced, Again int
-	Hung                        int // runs that did not end when they were told to
-	Lost                        int // messages for which there was no room
-	Leaders                     int // times that it became leader
+// Counters are of what a host did since its start.
+type Counters struct {
+	Runs, Failed, Fenced, Reproposed int
+	Hung                             int // runs that did not end when they were told to
+	DroppedFrames                    int // messages for which there was no room
+	ElectionsWon                     int // times that it became leader
 }
 
 // Status is how a host stands.
 type Status struct {
 	ID, Leader, Term, Applied uint64
 	Joined                    bool
-	Counts                    Counts
+	Counters                  Counters
 	Duties                    []duty.Status
 	Members                   []duty.MemberStatus
 	Now                       time.Duration // of the log
@@ -115,25 +115,25 @@
 	if cfg.Lease <= 0 {
 		cfg.Lease = time.Second
 	}
-	if cfg.Pool <= 0 {
-		cfg.Pool = 4
+	if cfg.MaxConcurrentRuns <= 0 {
+		cfg.MaxConcurrentRuns = 4
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	id, err := cfg.Keys.Identity()
+	id, err := cfg.Credentials.Identity()
 	if err != nil {
 		return nil, err
 	}
 	if id.Member != cfg.ID {
-		return nil, fmt.Errorf("%w: it is member %d's, not %d's", ErrStrange, id.Member, cfg.ID)
+		return nil, fmt.Errorf("%w: it is member %d's, not %d's", ErrInvalidIdentity, id.Member, cfg.ID)
 	}
-	h := &Host{cfg: cfg, log: cfg.Log, tick: cfg.Lease / 20, began: time.Now(), inbox: make(chan received, inboxLen), ended: make(chan result, cfg.Pool),
+	h := &Host{cfg: cfg, log: cfg.Log, tick: cfg.Lease / 20, began: time.Now(), inbox: make(chan received, inboxLen), ended: make(chan result, cfg.MaxConcurrentRuns),
 		out: map[uint64]chan Frame{}, status: make(chan chan Status), heard: map[string]time.Duration{}, running: map[duty.Claim]*run{},
 		life: uint64(time.Now().UnixNano())}
 	var founders []uint64
 	for _, p := range cfg.Peers {
-		if cfg.Founder {
+		if cfg.Bootstrap {
 			founders = append(founders, p.ID)
 		}
 		if p.ID != cfg.ID {
@@ -142,8 +142,8 @@
 	}
 	slices.Sort(founders)
 	dc := duty.Config{Lease: cfg.Lease}
-	h.agent = duty.NewAgent(cfg.Name, dc, cfg.Pool)
-	h.m, err = Open(Config{ID: cfg.ID, Name: cfg.Name, Founders: founders, Duty: dc, Disk: cfg.Disk, Log: cfg.Log,
+	h.agent = duty.NewAgent(cfg.Name, dc, cfg.MaxConcurrentRuns)
+	h.m, err = OpenMember(Config{ID: cfg.ID, Name: cfg.Name, InitialMembers: founders, Duty: dc, Storage: cfg.Storage, Log: cfg.Log,
 		Rand: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), cfg.ID))})
 	return h, err
 }
@@ -215,7 +215,7 @@
 func (h *Host) beat(n int) {
 	h.m.Tick()
 	lead, _ := h.m.Leader()
-	if h.m.Leads() && n%5 == 0 { // the duties' clock, four times a lease
+	if h.m.IsLeader() && n%5 == 0 { // the duties' clock, four times a lease
 		h.heard[h.cfg.Name] = h.steady()
 		t := duty.Tick{Now: time.Duration(time.Now().UnixNano())}
 		for _, p := range h.cfg.Peers {
@@ -226,20 +226,20 @@
 		clear(h.heard)
 		h.propose(t)
 	} else if lead != 0 && lead != h.cfg.ID && n%3 == 0 {
-		h.post(lead, BeatFrame(h.steady()))
+		h.post(lead, HeartbeatFrame(h.steady()))
 	}
 	if lead != 0 && n%10 == 0 {
 		if !h.joined {
 			h.propose(duty.Join{Member: h.cfg.Name, Incarnation: h.life})
 		}
-		if h.m.Leads() {
+		if h.m.IsLeader() {
 			for _, r := range h.m.State().MissingRegistrations(h.cfg.Duties) {
 				h.propose(r)
 			}
 		}
 	}
 	if n%200 == 0 { // a certificate that was renewed, or revoked
-		if err := h.cfg.Keys.Reload(); err != nil {
+		if err := h.cfg.Credentials.Reload(); err != nil {
 			h.log.Error("cluster files not reread", "error", err)
 		}
 	}
@@ -257,7 +257,7 @@
 	select {
 	case h.out[to] <- f:
 	default: // also a peer that is not listed
-		h.counts.Lost++
+		h.counts.DroppedFrames++
 	}
 }
 
@@ -266,16 +266,16 @@
 	case FrameRaft:
 		m, err := r.f.Raft()
 		if err == nil && m.GetFrom() != r.from && m.GetType() != pb.MsgProp && m.GetType() != pb.MsgReadIndex {
-			err = fmt.Errorf("%w: it says it is from member %d", ErrStrange, m.GetFrom())
+			err = fmt.Errorf("%w: it says it is from member %d", ErrInvalidIdentity, m.GetFrom())
 		}
 		if err == nil {
 			err = h.m.Step(m)
 		}
-		if err != nil && !errors.Is(err, ErrBroken) {
+		if err != nil && !errors.Is(err, ErrMemberFailed) {
 			h.log.Warn("message refused", "member", r.from, "error", err)
 		}
-	case FrameBeat:
-		at, err := r.f.Beat()
+	case FrameHeartbeat:
+		at, err := r.f.Heartbeat()
 		if err != nil {
 			h.log.Warn("message refused", "member", r.from, "error", err)
 			return
@@ -290,17 +290,17 @@
 
 // work saves, sends, applies, and starts and stops what is to run.
 func (h *Host) work(ctx context.Context) error {
-	led := h.m.Leads()
-	out, err := h.m.Work()
+	led := h.m.IsLeader()
+	out, err := h.m.ProcessReady()
 	if err != nil {
 		return err
 	}
-	if h.m.Leads() && !led {
-		h.counts.Leaders++
+	if h.m.IsLeader() && !led {
+		h.counts.ElectionsWon++
 		_, term := h.m.Leader()
 		h.log.Info("leads", "term", term)
 	}
-	for _, m := range out.Send {
+	for _, m := range out.Messages {
 		f, err := RaftFrame(m)
 		if err != nil {
 			return fmt.Errorf("cluster: %w", err)
@@ -333,7 +333,7 @@
 		h.log.Error("duty hangs", "duty", c.Duty, "period", c.Period, "epoch", c.Epoch)
 	}
 	for _, c := range h.agent.Repropose(now, state) {
-		h.counts.Again++
+		h.counts.Reproposed++
 		h.propose(duty.Done{Claim: c})
 	}
 	for _, c := range h.agent.Start(now, state) {
@@ -388,7 +388,7 @@
 func (h *Host) stand() Status {
 	lead, term := h.m.Leader()
 	s := h.m.State()
-	return Status{ID: h.cfg.ID, Leader: lead, Term: term, Applied: h.m.Applied(), Joined: h.joined, Counts: h.counts,
+	return Status{ID: h.cfg.ID, Leader: lead, Term: term, Applied: h.m.AppliedIndex(), Joined: h.joined, Counters: h.counts,
 		Duties: s.Duties(), Members: s.Members(), Now: s.Now()}
 }
 
@@ -443,14 +443,14 @@
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	c := tls.Server(raw, h.cfg.Keys.Server())
+	c := tls.Server(raw, h.cfg.Credentials.ServerConfig())
 	if err := c.SetDeadline(time.Now().Add(dialWait)); err != nil {
 		return err
 	}
 	if err := c.HandshakeContext(ctx); err != nil {
 		return err
 	}
-	who, err := h.cfg.Keys.Peer(c.ConnectionState())
+	who, err := h.cfg.Credentials.PeerIdentity(c.ConnectionState())
 	if err != nil {
 		return err
 	}
@@ -463,7 +463,7 @@
 		return err
 	}
 	if hello.Member != who.Member || hello.Installation != who.Installation {
-		return fmt.Errorf("%w: member %d calls itself %d", ErrStrange, who.Member, hello.Member)
+		return fmt.Errorf("%w: member %d calls itself %d", ErrInvalidIdentity, who.Member, hello.Member)
 	}
 	for {
 		// Beats come several times a lease; one who says nothing for long is gone.
@@ -510,7 +510,7 @@
 func (h *Host) talk(ctx context.Context, p Peer, up func()) error {
 	dial, cancel := context.WithTimeout(ctx, dialWait)
 	defer cancel()
-	d := tls.Dialer{Config: h.cfg.Keys.Client(p.ID)}
+	d := tls.Dialer{Config: h.cfg.Credentials.ClientConfig(p.ID)}
 	c, err := d.DialContext(dial, "tcp", p.Addr)
 	if err != nil {
 		return err
@@ -518,7 +518,7 @@
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	id, err := h.cfg.Keys.Identity()
+	id, err := h.cfg.Credentials.Identity()
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -59,7 +59,7 @@
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return err
 	}
-	keys, err := OpenKeys(c.Dir)
+	keys, err := OpenCredentials(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	name := memberName(c.ID)
-	h, err := NewHost(HostConfig{ID: c.ID, Name: name, Keys: keys, Listener: ln, Peers: c.Peers, Founder: true, Disk: disk, Duties: c.Duties, Lease: c.Lease,
+	h, err := NewHost(HostConfig{ID: c.ID, Name: name, Credentials: keys, Listener: ln, Peers: c.Peers, Bootstrap: true, Storage: disk, Duties: c.Duties, Lease: c.Lease,
 		Run: func(ctx context.Context, cl duty.Claim) error { return claimAt(ctx, c.Sink, name, cl) },
 		Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	if err != nil {
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -15,38 +15,38 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-// Disk keeps what must survive. Save returns once all of it is durable; after an error
+// Storage keeps what must survive. Save returns once all of it is durable; after an error
 // the member must not go on, since nobody knows what is there.
-type Disk interface {
-	Load() (*Kept, error)
-	Save(c *Change) error
+type Storage interface {
+	Load() (*StoredState, error)
+	Save(c *WriteBatch) error
 }
 
-// Kept is what a disk holds.
-type Kept struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // empty: none
-	Entries  []*pb.Entry  // after the snapshot, without a gap
+// StoredState is what a disk holds.
+type StoredState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot // empty: none
+	Entries   []*pb.Entry  // after the snapshot, without a gap
 }
 
-// Change is what is to be saved, all or nothing.
-type Change struct {
-	Hard     *pb.HardState // nil: unchanged
-	Snapshot *pb.Snapshot  // nil: unchanged; entries up to it may go
-	Foreign  bool          // the snapshot is another's: all entries go
-	Entries  []*pb.Entry   // they replace all from the first one's index on
+// WriteBatch is what is to be saved, all or nothing.
+type WriteBatch struct {
+	HardState *pb.HardState // nil: unchanged
+	Snapshot  *pb.Snapshot  // nil: unchanged; entries up to it may go
+	Received  bool          // the snapshot is another's: all entries go
+	Entries   []*pb.Entry   // they replace all from the first one's index on
 }
 
 // Config is what a member is made of.
 type Config struct {
 	ID   uint64 // not 0
 	Name string // as the duties know it
-	// Founders are the members of a new installation, the same at each of them; none
+	// InitialMembers are the members of a new installation, the same at each of them; none
 	// for one that joins later. They count only while the disk is empty.
-	Founders []uint64
-	Duty     duty.Config
-	Disk     Disk
-	Log      *slog.Logger
+	InitialMembers []uint64
+	Duty           duty.Config
+	Storage        Storage
+	Log            *slog.Logger
 	// Rand decides when to stand for leader, and nothing else.
 	Rand *rand.Rand
 	// SnapshotEvery is how many applied entries bring a snapshot; 0: 1,024.
@@ -63,9 +63,9 @@
 
 // Errors of a Member.
 var (
-	ErrNoLeader = errors.New("cluster: no leader is known")
-	ErrBroken   = errors.New("cluster: the member has stopped on an error of its disk")
-	ErrFull     = errors.New("cluster: too much is waiting to be agreed on")
+	ErrNoLeader         = errors.New("cluster: no leader is known")
+	ErrMemberFailed     = errors.New("cluster: the member has stopped on an error of its disk")
+	ErrTooManyProposals = errors.New("cluster: too much is waiting to be agreed on")
 )
 
 // Member is one instance's part of the log. It may be used by one goroutine at a time.
@@ -85,27 +85,27 @@
 
 // Output is what a step of work brings.
 type Output struct {
-	Send    []*pb.Message // after this, in any order, or never
-	Applied []duty.Entry  // what the state has taken in since the last Work
-	Reads   []uint64      // tokens of reads that may be answered from the state now
+	Messages       []*pb.Message // after this, in any order, or never
+	Applied        []duty.Entry  // what the state has taken in since the last Work
+	ConfirmedReads []uint64      // tokens of reads that may be answered from the state now
 }
 
-// Open makes a member from what its disk holds. A disk that can't be read is an error
+// OpenMember makes a member from what its disk holds. A disk that can't be read is an error
 // that names what is wrong; nothing is served from it.
-func Open(cfg Config) (*Member, error) {
+func OpenMember(cfg Config) (*Member, error) {
 	if cfg.SnapshotEvery == 0 {
 		cfg.SnapshotEvery = 1024
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	k, err := cfg.Disk.Load()
+	k, err := cfg.Storage.Load()
 	if err != nil {
 		return nil, err
 	}
 	m := &Member{cfg: cfg, mem: raft.NewMemoryStorage(), state: duty.New(cfg.Duty), conf: &pb.ConfState{}}
-	fresh := raft.IsEmptyHardState(k.Hard) && raft.IsEmptySnap(k.Snapshot) && len(k.Entries) == 0
-	if fresh && len(cfg.Founders) > 0 {
+	fresh := raft.IsEmptyHardState(k.HardState) && raft.IsEmptySnap(k.Snapshot) && len(k.Entries) == 0
+	if fresh && len(cfg.InitialMembers) > 0 {
 		// Founders begin from the same snapshot, at an index of its own: nothing is
 		// agreed on before there is a majority, but who it is of.
 		empty, err := m.state.Save()
@@ -113,9 +113,9 @@
 			return nil, err
 		}
 		k.Snapshot = &pb.Snapshot{Data: empty, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-			ConfState: &pb.ConfState{Voters: cfg.Founders}}}
-		k.Hard = &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-		if err := cfg.Disk.Save(&Change{Hard: k.Hard, Snapshot: k.Snapshot}); err != nil {
+			ConfState: &pb.ConfState{Voters: cfg.InitialMembers}}}
+		k.HardState = &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
+		if err := cfg.Storage.Save(&WriteBatch{HardState: k.HardState, Snapshot: k.Snapshot}); err != nil {
 			return nil, err
 		}
 	}
@@ -127,8 +127,8 @@
 			return nil, err
 		}
 	}
-	if !raft.IsEmptyHardState(k.Hard) {
-		if err := m.mem.SetHardState(k.Hard); err != nil {
+	if !raft.IsEmptyHardState(k.HardState) {
+		if err := m.mem.SetHardState(k.HardState); err != nil {
 			return nil, fmt.Errorf("cluster: hard state: %w", err)
 		}
 	}
@@ -157,11 +157,11 @@
 	return st.Lead, st.GetTerm()
 }
 
-// Leads says whether this member is the leader.
-func (m *Member) Leads() bool { return m.rn.BasicStatus().RaftState == raft.StateLeader }
+// IsLeader says whether this member is the leader.
+func (m *Member) IsLeader() bool { return m.rn.BasicStatus().RaftState == raft.StateLeader }
 
-// Applied is the index up to which the state is applied here.
-func (m *Member) Applied() uint64 { return m.applied }
+// AppliedIndex is the index up to which the state is applied here.
+func (m *Member) AppliedIndex() uint64 { return m.applied }
 
 // Tick is the passing of one unit of the host's time.
 //
@@ -171,7 +171,7 @@
 	if m.broken != nil {
 		return
 	}
-	if m.Leads() {
+	if m.IsLeader() {
 		m.draw()
 		m.rn.Tick() // heartbeats, and stepping down without a majority
 		return
@@ -186,7 +186,7 @@
 // Step takes in a message of another member.
 func (m *Member) Step(msg *pb.Message) error {
 	if m.broken != nil {
-		return ErrBroken
+		return ErrMemberFailed
 	}
 	if msg.GetTo() != m.cfg.ID {
 		return fmt.Errorf("cluster: a message for member %d", msg.GetTo())
@@ -210,29 +210,29 @@
 // Propose asks for an entry to be agreed on. Without an error it may be, or not: it is
 // when it turns up in Applied.
 func (m *Member) Propose(e duty.Entry) error {
-	b, err := Encode(e)
+	b, err := EncodeEntry(e)
 	if err != nil {
 		return err
 	}
 	if m.broken != nil {
-		return ErrBroken
+		return ErrMemberFailed
 	}
 	if lead, _ := m.Leader(); lead == 0 {
 		return ErrNoLeader
 	}
 	if err := m.rn.Propose(b); errors.Is(err, raft.ErrProposalDropped) {
-		return ErrFull
+		return ErrTooManyProposals
 	} else if err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	return nil
 }
 
-// Change asks for a change of the members: joint, so that no two majorities exist on
+// ProposeConfChange asks for a change of the members: joint, so that no two majorities exist on
 // the way.
-func (m *Member) Change(steps ...*pb.ConfChangeSingle) error {
+func (m *Member) ProposeConfChange(steps ...*pb.ConfChangeSingle) error {
 	if m.broken != nil {
-		return ErrBroken
+		return ErrMemberFailed
 	}
 	if lead, _ := m.Leader(); lead == 0 {
 		return ErrNoLeader
@@ -243,11 +243,11 @@
 	return nil
 }
 
-// Read asks when the state here is as new as anything agreed on before now; the token
+// ReadIndex asks when the state here is as new as anything agreed on before now; the token
 // turns up in Reads then, or never.
-func (m *Member) Read(token uint64) error {
+func (m *Member) ReadIndex(token uint64) error {
 	if m.broken != nil {
-		return ErrBroken
+		return ErrMemberFailed
 	}
 	if lead, _ := m.Leader(); lead == 0 {
 		return ErrNoLeader
@@ -268,24 +268,24 @@
 // maxRounds bounds one Work.
 const maxRounds = 64
 
-// Work does what is due: saves, applies, and gives what is to be sent. An error of the
+// ProcessReady does what is due: saves, applies, and gives what is to be sent. An error of the
 // disk stops the member for good: what it may have promised is not known to be kept.
-func (m *Member) Work() (*Output, error) {
+func (m *Member) ProcessReady() (*Output, error) {
 	out := &Output{}
 	if m.broken != nil {
 		return out, m.broken
 	}
 	for round := 0; round < maxRounds && m.rn.HasReady(); round++ {
 		rd := m.rn.Ready()
-		c := &Change{Entries: rd.Entries}
+		c := &WriteBatch{Entries: rd.Entries}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			c.Hard = rd.HardState
+			c.HardState = rd.HardState
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			c.Snapshot, c.Foreign = rd.Snapshot, true
+			c.Snapshot, c.Received = rd.Snapshot, true
 		}
-		if c.Hard != nil || c.Snapshot != nil || len(c.Entries) > 0 {
-			if err := m.cfg.Disk.Save(c); err != nil {
+		if c.HardState != nil || c.Snapshot != nil || len(c.Entries) > 0 {
+			if err := m.cfg.Storage.Save(c); err != nil {
 				return m.fail(out, err)
 			}
 		}
@@ -300,12 +300,12 @@
 		if err := m.mem.Append(c.Entries); err != nil {
 			return m.fail(out, err)
 		}
-		if c.Hard != nil {
-			if err := m.mem.SetHardState(c.Hard); err != nil {
+		if c.HardState != nil {
+			if err := m.mem.SetHardState(c.HardState); err != nil {
 				return m.fail(out, err)
 			}
 		}
-		out.Send = append(out.Send, rd.Messages...)
+		out.Messages = append(out.Messages, rd.Messages...)
 		for _, msg := range rd.Messages {
 			if msg.GetType() == pb.MsgSnap { // the link tells if it was lost; until then it counts as sent
 				m.rn.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
@@ -322,7 +322,7 @@
 				token |= uint64(b) << (8 * i)
 			}
 			if r.Index <= m.applied {
-				out.Reads = append(out.Reads, token)
+				out.ConfirmedReads = append(out.ConfirmedReads, token)
 			}
 		}
 		m.rn.Advance(rd)
@@ -337,8 +337,8 @@
 }
 
 func (m *Member) fail(out *Output, err error) (*Output, error) {
-	m.broken = fmt.Errorf("%w: %w", ErrBroken, err)
-	out.Send = nil // what was not saved must not be said
+	m.broken = fmt.Errorf("%w: %w", ErrMemberFailed, err)
+	out.Messages = nil // what was not saved must not be said
 	return out, m.broken
 }
 
@@ -351,7 +351,7 @@
 		if len(e.GetData()) == 0 {
 			break // a new leader's first
 		}
-		d, err := Decode(e.GetData())
+		d, err := DecodeEntry(e.GetData())
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
@@ -396,7 +396,7 @@
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if err := m.cfg.Disk.Save(&Change{Snapshot: s}); err != nil {
+	if err := m.cfg.Storage.Save(&WriteBatch{Snapshot: s}); err != nil {
 		return err
 	}
 	m.snapAt, m.changed = m.applied, false
--- a/internal/cluster/members_test.go
+++ b/internal/cluster/members_test.go
@@ -33,9 +33,9 @@
 	return b
 }
 
-func (b *table) sit(id uint64, disk Disk, founders ...uint64) *Member {
+func (b *table) sit(id uint64, disk Storage, founders ...uint64) *Member {
 	b.t.Helper()
-	m, err := Open(Config{ID: id, Name: memberName(id), Founders: founders, Duty: simDuty, Disk: disk, Rand: rand.New(rand.NewPCG(id, 1)), SnapshotEvery: 20})
+	m, err := OpenMember(Config{ID: id, Name: memberName(id), InitialMembers: founders, Duty: simDuty, Storage: disk, Rand: rand.New(rand.NewPCG(id, 1)), SnapshotEvery: 20})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -59,13 +59,13 @@
 		for range 6 { // enough rounds for what one tick sets off
 			var all []*pb.Message
 			for _, id := range ids {
-				out, err := b.ms[id].Work()
+				out, err := b.ms[id].ProcessReady()
 				if err != nil {
 					b.t.Fatal(id, err)
 				}
-				b.reads = append(b.reads, out.Reads...)
+				b.reads = append(b.reads, out.ConfirmedReads...)
 				if !b.deaf[id] {
-					all = append(all, out.Send...)
+					all = append(all, out.Messages...)
 				}
 			}
 			for _, msg := range all {
@@ -85,7 +85,7 @@
 	for range 200 {
 		b.turn(1)
 		for id, m := range b.ms {
-			if m.Leads() && !b.deaf[id] {
+			if m.IsLeader() && !b.deaf[id] {
 				return m
 			}
 		}
@@ -110,7 +110,7 @@
 
 func (b *table) change(kind pb.ConfChangeType, id uint64) {
 	b.t.Helper()
-	if err := b.leader().Change(&pb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(id)}); err != nil {
+	if err := b.leader().ProposeConfChange(&pb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(id)}); err != nil {
 		b.t.Fatal(err)
 	}
 	b.turn(12)
@@ -149,7 +149,7 @@
 	fill(400) // beyond what is kept behind a snapshot
 	b.sit(4, &memDisk{})
 	b.turn(30)
-	if len(b.ms[4].State().Duties()) != 0 || b.ms[4].Leads() {
+	if len(b.ms[4].State().Duties()) != 0 || b.ms[4].IsLeader() {
 		t.Fatal("one who was not asked to join takes part")
 	}
 	b.change(pb.ConfChangeType_ConfChangeAddLearnerNode, 4)
@@ -186,17 +186,17 @@
 	if err := lead.Propose(duty.Leave{Member: "x"}); err != nil {
 		t.Fatal(err) // it can't know yet
 	}
-	if err := lead.Read(7); err != nil {
+	if err := lead.ReadIndex(7); err != nil {
 		t.Fatal(err)
 	}
 	for range 40 {
 		lead.Tick()
-		out, err := lead.Work()
-		if err != nil || len(out.Applied) > 0 || len(out.Reads) > 0 {
-			t.Fatalf("a leader without a majority applied %v, read %v: %v", out.Applied, out.Reads, err)
+		out, err := lead.ProcessReady()
+		if err != nil || len(out.Applied) > 0 || len(out.ConfirmedReads) > 0 {
+			t.Fatalf("a leader without a majority applied %v, read %v: %v", out.Applied, out.ConfirmedReads, err)
 		}
 	}
-	if lead.Leads() {
+	if lead.IsLeader() {
 		t.Error("it leads without a majority")
 	}
 	if err := lead.Propose(duty.Leave{Member: "x"}); !errors.Is(err, ErrNoLeader) {
@@ -209,7 +209,7 @@
 	if got := b.ms[old].State().Members(); len(got) != 2 {
 		t.Errorf("%+v: what the minority proposed counts", got)
 	}
-	if err := b.leader().Read(9); err != nil {
+	if err := b.leader().ReadIndex(9); err != nil {
 		t.Fatal(err)
 	}
 	b.turn(5)
--- a/internal/cluster/pki.go
+++ b/internal/cluster/pki.go
@@ -42,17 +42,17 @@
 
 // Validity of certificates.
 const (
-	CAValid     = 10 * 365 * 24 * time.Hour
-	MemberValid = 90 * 24 * time.Hour
-	maxKeyFile  = 1 << 20
-	backdate    = 5 * time.Minute // clocks of a new installation may differ by so much
+	CAValidity     = 10 * 365 * 24 * time.Hour
+	MemberValidity = 90 * 24 * time.Hour
+	maxKeyFile     = 1 << 20
+	backdate       = 5 * time.Minute // clocks of a new installation may differ by so much
 )
 
 // Errors of identities.
 var (
-	ErrMode    = errors.New("cluster: a key that others can read")
-	ErrRevoked = errors.New("cluster: a certificate that was revoked")
-	ErrStrange = errors.New("cluster: a certificate that is not of this installation")
+	ErrKeyMode         = errors.New("cluster: a key that others can read")
+	ErrRevoked         = errors.New("cluster: a certificate that was revoked")
+	ErrInvalidIdentity = errors.New("cluster: a certificate that is not of this installation")
 )
 
 // CA is the authority of one installation.
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: "violetspan " + installation, Organization: []string{installation}},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(CAValid), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(CAValidity), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
@@ -132,7 +132,7 @@
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
 	if secret && st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%w: %s has mode %o, want %o", ErrMode, path, st.Mode().Perm(), modeSecret)
+		return nil, fmt.Errorf("%w: %s has mode %o, want %o", ErrKeyMode, path, st.Mode().Perm(), modeSecret)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -177,7 +177,7 @@
 		return nil, fmt.Errorf("cluster: %s: %w", path, err)
 	}
 	if len(c.Subject.Organization) != 1 {
-		return nil, fmt.Errorf("%w: %s", ErrStrange, path)
+		return nil, fmt.Errorf("%w: %s", ErrInvalidIdentity, path)
 	}
 	return c, nil
 }
@@ -198,7 +198,7 @@
 		return err
 	}
 	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: memberName(member), Organization: []string{ca.Installation}},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(MemberValid), DNSNames: []string{memberName(member)},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(MemberValidity), DNSNames: []string{memberName(member)},
 		URIs:     []*url.URL{{Scheme: "violetspan", Host: ca.Installation, Path: "/member/" + strconv.FormatUint(member, 10)}},
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, t, ca.cert, key.Public(), ca.key)
@@ -229,8 +229,8 @@
 
 func memberName(member uint64) string { return "member-" + strconv.FormatUint(member, 10) }
 
-// Keys are an instance's key and certificate, reread when their files change.
-type Keys struct {
+// Credentials are an instance's key and certificate, reread when their files change.
+type Credentials struct {
 	dir string
 
 	mu      sync.Mutex // guards all below
@@ -244,15 +244,15 @@
 	Now func() time.Time
 }
 
-// OpenKeys reads an instance's files.
-func OpenKeys(dir string) (*Keys, error) {
-	k := &Keys{dir: dir, Now: time.Now}
+// OpenCredentials reads an instance's files.
+func OpenCredentials(dir string) (*Credentials, error) {
+	k := &Credentials{dir: dir, Now: time.Now}
 	return k, k.Reload()
 }
 
 // Reload reads the files anew if they have changed; with an error what was read before
 // counts on.
-func (k *Keys) Reload() error {
+func (k *Credentials) Reload() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	// By content: two files of one size may be written within one tick of a file system.
@@ -310,7 +310,7 @@
 }
 
 // Identity is the instance's own.
-func (k *Keys) Identity() (Identity, error) {
+func (k *Credentials) Identity() (Identity, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.identify(k.leaf)
@@ -318,17 +318,17 @@
 
 // identify reads a certificate's identity, and refuses one that is not of this
 // installation, is past its time or was revoked. The lock is held.
-func (k *Keys) identify(c *x509.Certificate) (Identity, error) {
+func (k *Credentials) identify(c *x509.Certificate) (Identity, error) {
 	id := Identity{Serial: c.SerialNumber.Text(16), NotAfter: c.NotAfter}
 	if _, err := c.Verify(x509.VerifyOptions{Roots: k.roots, CurrentTime: k.Now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
-		return id, fmt.Errorf("%w: %w", ErrStrange, err)
+		return id, fmt.Errorf("%w: %w", ErrInvalidIdentity, err)
 	}
 	if len(c.URIs) != 1 || c.URIs[0].Scheme != "violetspan" || c.URIs[0].Host != k.org {
-		return id, fmt.Errorf("%w: it names no member of %s", ErrStrange, k.org)
+		return id, fmt.Errorf("%w: it names no member of %s", ErrInvalidIdentity, k.org)
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(c.URIs[0].Path, "/member/"), 10, 64)
 	if err != nil || n == 0 {
-		return id, fmt.Errorf("%w: it names no member", ErrStrange)
+		return id, fmt.Errorf("%w: it names no member", ErrInvalidIdentity)
 	}
 	id.Installation, id.Member = k.org, n
 	if k.revoked[id.Serial] {
@@ -338,30 +338,30 @@
 }
 
 // check is asked for each connection, after the library has verified the chain.
-func (k *Keys) check(want uint64) func(tls.ConnectionState) error {
+func (k *Credentials) check(want uint64) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
-			return fmt.Errorf("%w: none was shown", ErrStrange)
+			return fmt.Errorf("%w: none was shown", ErrInvalidIdentity)
 		}
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		id, err := k.identify(s.PeerCertificates[0])
 		if err == nil && want != 0 && id.Member != want {
-			err = fmt.Errorf("%w: member %d answers in place of %d", ErrStrange, id.Member, want)
+			err = fmt.Errorf("%w: member %d answers in place of %d", ErrInvalidIdentity, id.Member, want)
 		}
 		return err
 	}
 }
 
-// Peer returns who is at the other end of a connection that was checked.
-func (k *Keys) Peer(s tls.ConnectionState) (Identity, error) {
+// PeerIdentity returns who is at the other end of a connection that was checked.
+func (k *Credentials) PeerIdentity(s tls.ConnectionState) (Identity, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.identify(s.PeerCertificates[0])
 }
 
-// Server is the configuration of a listener; each connection takes the present files.
-func (k *Keys) Server() *tls.Config {
+// ServerConfig is the configuration of a listener; each connection takes the present files.
+func (k *Credentials) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -370,8 +370,8 @@
 	}}
 }
 
-// Client is the configuration of a connection to a member.
-func (k *Keys) Client(member uint64) *tls.Config {
+// ClientConfig is the configuration of a connection to a member.
+func (k *Credentials) ClientConfig(member uint64) *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*k.pair}, RootCAs: k.roots,
--- a/internal/cluster/pki_test.go
+++ b/internal/cluster/pki_test.go
@@ -34,9 +34,9 @@
 	return ca, dirs
 }
 
-func keys(t *testing.T, dir string) *Keys {
+func keys(t *testing.T, dir string) *Credentials {
 	t.Helper()
-	k, err := OpenKeys(dir)
+	k, err := OpenCredentials(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,22 +84,22 @@
 func TestIdentities(t *testing.T) {
 	ca, dirs := party(t, "tran")
 	one, two := keys(t, dirs[1]), keys(t, dirs[2])
-	if id, err := one.Identity(); err != nil || id.Member != 1 || id.Installation != "tran" || time.Until(id.NotAfter) < MemberValid-time.Hour {
+	if id, err := one.Identity(); err != nil || id.Member != 1 || id.Installation != "tran" || time.Until(id.NotAfter) < MemberValidity-time.Hour {
 		t.Error(id, err)
 	}
 	_, strange := party(t, "tran") // the same name, another authority
-	old := two.Client(1)
+	old := two.ClientConfig(1)
 	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
 	for name, c := range map[string]struct {
 		server, client *tls.Config
 		ok             bool
 	}{
-		"each other":            {one.Server(), two.Client(1), true},
-		"1 in place of 2":       {one.Server(), two.Client(2), false},
-		"a stranger calls":      {one.Server(), keys(t, strange[2]).Client(1), false},
-		"a stranger is called":  {keys(t, strange[1]).Server(), two.Client(1), false},
-		"none without":          {one.Server(), &tls.Config{InsecureSkipVerify: true}, false},
-		"an older TLS than 1.3": {one.Server(), old, false},
+		"each other":            {one.ServerConfig(), two.ClientConfig(1), true},
+		"1 in place of 2":       {one.ServerConfig(), two.ClientConfig(2), false},
+		"a stranger calls":      {one.ServerConfig(), keys(t, strange[2]).ClientConfig(1), false},
+		"a stranger is called":  {keys(t, strange[1]).ServerConfig(), two.ClientConfig(1), false},
+		"none without":          {one.ServerConfig(), &tls.Config{InsecureSkipVerify: true}, false},
+		"an older TLS than 1.3": {one.ServerConfig(), old, false},
 	} {
 		if err := shake(t, c.server, c.client); (err == nil) != c.ok {
 			t.Errorf("%s: %v", name, err)
@@ -117,8 +117,8 @@
 	if err != nil || is.Serial == was.Serial {
 		t.Fatal(is, err)
 	}
-	server := one.Server()
-	if err := shake(t, server, two.Client(1)); err != nil {
+	server := one.ServerConfig()
+	if err := shake(t, server, two.ClientConfig(1)); err != nil {
 		t.Error(err)
 	}
 	// Revoked at member 1, by its serial number; a comment and an empty line are none.
@@ -128,12 +128,12 @@
 	if err := one.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := shake(t, server, two.Client(1)); err == nil {
+	if err := shake(t, server, two.ClientConfig(1)); err == nil {
 		t.Error("a revoked certificate was let in")
 	}
 	// Past its time.
-	two.Now = func() time.Time { return time.Now().Add(MemberValid + time.Hour) }
-	if _, err := two.Identity(); !errors.Is(err, ErrStrange) {
+	two.Now = func() time.Time { return time.Now().Add(MemberValidity + time.Hour) }
+	if _, err := two.Identity(); !errors.Is(err, ErrInvalidIdentity) {
 		t.Error(err)
 	}
 }
@@ -175,10 +175,10 @@
 		if err := k.Reload(); err == nil || !strings.Contains(err.Error(), dir) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err := shake(t, one.Server(), k.Client(1)); err != nil {
+		if err := shake(t, one.ServerConfig(), k.ClientConfig(1)); err != nil {
 			t.Errorf("%s: what was read before does not count: %v", name, err)
 		}
-		if _, err := OpenKeys(dir); err == nil {
+		if _, err := OpenCredentials(dir); err == nil {
 			t.Errorf("%s: opened", name)
 		}
 	}
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	var b []byte
-	frames := []Frame{hello, raftFrame, BeatFrame(5 * time.Second), {9, 200, []byte("of a later minor version")}, {0, FrameBeat, nil}}
+	frames := []Frame{hello, raftFrame, HeartbeatFrame(5 * time.Second), {9, 200, []byte("of a later minor version")}, {0, FrameHeartbeat, nil}}
 	for _, f := range frames {
 		if b, err = AppendFrame(b, f); err != nil {
 			t.Fatal(err)
@@ -220,17 +220,17 @@
 	if m, err := raftFrame.Raft(); err != nil || !proto.Equal(m, msg) {
 		t.Error(m, err)
 	}
-	if at, err := BeatFrame(5 * time.Second).Beat(); err != nil || at != 5*time.Second {
+	if at, err := HeartbeatFrame(5 * time.Second).Heartbeat(); err != nil || at != 5*time.Second {
 		t.Error(at, err)
 	}
 	for name, c := range map[string]struct {
 		edit func(b []byte) []byte
 		want error
 	}{
-		"magic":    {func(b []byte) []byte { b[0]++; return b }, ErrFrame},
-		"major":    {func(b []byte) []byte { b[2]++; return b }, ErrMajor},
-		"length":   {func(b []byte) []byte { b[8] = 0xff; return b }, ErrFrame},
-		"checksum": {func(b []byte) []byte { b[len(b)-1] ^= 1; return b }, ErrFrame},
+		"magic":    {func(b []byte) []byte { b[0]++; return b }, ErrMalformedFrame},
+		"major":    {func(b []byte) []byte { b[2]++; return b }, ErrMajorVersion},
+		"length":   {func(b []byte) []byte { b[8] = 0xff; return b }, ErrMalformedFrame},
+		"checksum": {func(b []byte) []byte { b[len(b)-1] ^= 1; return b }, ErrMalformedFrame},
 		"short":    {func(b []byte) []byte { return b[:len(b)-1] }, io.ErrUnexpectedEOF},
 		"header":   {func(b []byte) []byte { return b[:7] }, io.ErrUnexpectedEOF},
 	} {
@@ -242,11 +242,11 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := AppendFrame(nil, Frame{Payload: make([]byte, MaxFrame+1)}); !errors.Is(err, ErrFrame) {
+	if _, err := AppendFrame(nil, Frame{Payload: make([]byte, MaxPayloadBytes+1)}); !errors.Is(err, ErrMalformedFrame) {
 		t.Error(err)
 	}
 	for _, f := range []Frame{{0, FrameHello, []byte(`{}`)}, {0, FrameHello, []byte(`{`)}, {0, FrameRaft, nil}} {
-		if _, err := f.Hello(); !errors.Is(err, ErrFrame) {
+		if _, err := f.Hello(); !errors.Is(err, ErrMalformedFrame) {
 			t.Errorf("%+v: %v", f, err)
 		}
 	}
@@ -256,7 +256,7 @@
 	hello, _ := HelloFrame(Hello{Installation: "tran", Member: 3})
 	one, _ := AppendFrame(nil, hello)
 	f.Add(one)
-	beat, _ := AppendFrame(nil, BeatFrame(1))
+	beat, _ := AppendFrame(nil, HeartbeatFrame(1))
 	f.Add(beat)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bytes.NewReader(b)
@@ -274,7 +274,7 @@
 			}
 			_, _ = fr.Hello() // whatever they hold, no panic
 			_, _ = fr.Raft()
-			_, _ = fr.Beat()
+			_, _ = fr.Heartbeat()
 		}
 	})
 }
@@ -283,15 +283,15 @@
 	f.Add([]byte(`{"v":1,"kind":"Tick","body":{"Now":5,"Heard":["a"],"At":[1]}}`))
 	f.Add([]byte(`{"v":2,"kind":"Leave","body":{"Member":"a"}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e, err := Decode(b)
+		e, err := DecodeEntry(b)
 		if err != nil {
 			return
 		}
-		again, err := Encode(e)
+		again, err := EncodeEntry(e)
 		if err != nil {
 			t.Skip() // escapes may make it longer than the bound
 		}
-		if _, err := Decode(again); err != nil {
+		if _, err := DecodeEntry(again); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/cluster/seeds_test.go
+++ b/internal/cluster/seeds_test.go
@@ -23,16 +23,16 @@
 // memDisk is a disk of the simulation. A crash in the middle of a Save leaves all of it
 // or nothing, as a store with checksums does.
 type memDisk struct {
-	kept  Kept
+	kept  StoredState
 	crash func() (before, after bool) // asked at each Save
 }
 
 var errCrash = errors.New("crash")
 
-func (d *memDisk) Load() (*Kept, error) {
-	k := &Kept{}
-	if d.kept.Hard != nil {
-		k.Hard = proto.Clone(d.kept.Hard).(*pb.HardState)
+func (d *memDisk) Load() (*StoredState, error) {
+	k := &StoredState{}
+	if d.kept.HardState != nil {
+		k.HardState = proto.Clone(d.kept.HardState).(*pb.HardState)
 	}
 	if d.kept.Snapshot != nil {
 		k.Snapshot = proto.Clone(d.kept.Snapshot).(*pb.Snapshot)
@@ -43,7 +43,7 @@
 	return k, nil
 }
 
-func (d *memDisk) Save(c *Change) error {
+func (d *memDisk) Save(c *WriteBatch) error {
 	before, after := false, false
 	if d.crash != nil {
 		before, after = d.crash()
@@ -51,13 +51,13 @@
 	if before {
 		return errCrash
 	}
-	if c.Hard != nil {
-		d.kept.Hard = proto.Clone(c.Hard).(*pb.HardState)
+	if c.HardState != nil {
+		d.kept.HardState = proto.Clone(c.HardState).(*pb.HardState)
 	}
 	if c.Snapshot != nil {
 		d.kept.Snapshot = proto.Clone(c.Snapshot).(*pb.Snapshot)
 		at := c.Snapshot.GetMetadata().GetIndex()
-		d.kept.Entries = slices.DeleteFunc(d.kept.Entries, func(e *pb.Entry) bool { return c.Foreign || e.GetIndex() <= at })
+		d.kept.Entries = slices.DeleteFunc(d.kept.Entries, func(e *pb.Entry) bool { return c.Received || e.GetIndex() <= at })
 	}
 	if len(c.Entries) > 0 {
 		from := c.Entries[0].GetIndex()
@@ -164,7 +164,7 @@
 	for k := range s.n {
 		founders = append(founders, uint64(k+1))
 	}
-	m, err := Open(Config{ID: n.id, Name: n.name, Founders: founders, Duty: simDuty, Disk: n.disk,
+	m, err := OpenMember(Config{ID: n.id, Name: n.name, InitialMembers: founders, Duty: simDuty, Storage: n.disk,
 		Rand: rand.New(rand.NewPCG(s.r.Uint64(), n.id)), SnapshotEvery: 40})
 	if errors.Is(err, errCrash) {
 		return // it is tried again
@@ -175,7 +175,7 @@
 	}
 	n.life++
 	n.m, n.agent, n.heard, n.joined = m, duty.NewAgent(n.name, simDuty, 4), map[string]time.Duration{}, false
-	s.say("%s up, life %d, applied %d", n.name, n.life, m.Applied())
+	s.say("%s up, life %d, applied %d", n.name, n.life, m.AppliedIndex())
 }
 
 func (s *sim) down(i int) {
@@ -229,7 +229,7 @@
 			n.heard[s.nodes[p.from].name] = max(n.heard[s.nodes[p.from].name], p.beat)
 			continue
 		}
-		if err := n.m.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrBroken) {
+		if err := n.m.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrMemberFailed) {
 			s.failf("%s: %v", n.name, err)
 		}
 	}
@@ -296,7 +296,7 @@
 		n.m.Tick()
 	}
 	lead, term := n.m.Leader()
-	if n.m.Leads() {
+	if n.m.IsLeader() {
 		if was := s.lead[term]; was != 0 && was != n.id {
 			s.failf("term %d has leaders %d and %d", term, was, n.id)
 		}
@@ -324,7 +324,7 @@
 			}
 		}
 	}
-	out, err := n.m.Work()
+	out, err := n.m.ProcessReady()
 	if err != nil {
 		if !errors.Is(err, errCrash) {
 			s.failf("%s: %v", n.name, err)
@@ -332,7 +332,7 @@
 		s.down(i)
 		return
 	}
-	for _, msg := range out.Send {
+	for _, msg := range out.Messages {
 		to := int(msg.GetTo() - 1)
 		s.post(parcel{from: i, to: to, msg: msg})
 	}
@@ -352,10 +352,10 @@
 			s.failf("%v", err)
 		}
 		sum := fmt.Sprintf("%x", xxhash.Sum64(b))
-		if was, ok := s.agreed[n.m.Applied()]; ok && was != sum {
-			s.failf("%s holds another state at %d", n.name, n.m.Applied())
+		if was, ok := s.agreed[n.m.AppliedIndex()]; ok && was != sum {
+			s.failf("%s holds another state at %d", n.name, n.m.AppliedIndex())
 		}
-		s.agreed[n.m.Applied()] = sum
+		s.agreed[n.m.AppliedIndex()] = sum
 	}
 	state := n.m.State()
 	stop, _ := n.agent.Stop(s.steady(), state)
@@ -418,7 +418,7 @@
 			s.failf("%s is down at the end", n.name)
 			return
 		}
-		if n.m.Leads() {
+		if n.m.IsLeader() {
 			leaders++
 			state = n.m.State()
 		}
--- a/internal/cluster/single_test.go
+++ b/internal/cluster/single_test.go
@@ -27,8 +27,8 @@
 	for _, n := range []string{"panics", "hangs", "fails", "well"} {
 		duties = append(duties, duty.Spec{Name: n, Period: 200 * time.Millisecond, Deadline: 50 * time.Millisecond})
 	}
-	h, err := NewHost(HostConfig{ID: 1, Name: "one", Keys: keys(t, dirs[1]), Listener: ln, Peers: []Peer{{ID: 1, Name: "one"}}, Founder: true,
-		Disk: &memDisk{}, Duties: duties, Pool: 3, Lease: 200 * time.Millisecond, Run: func(ctx context.Context, c duty.Claim) error {
+	h, err := NewHost(HostConfig{ID: 1, Name: "one", Credentials: keys(t, dirs[1]), Listener: ln, Peers: []Peer{{ID: 1, Name: "one"}}, Bootstrap: true,
+		Storage: &memDisk{}, Duties: duties, MaxConcurrentRuns: 3, Lease: 200 * time.Millisecond, Run: func(ctx context.Context, c duty.Claim) error {
 			mu.Lock()
 			count[c.Duty]++
 			mu.Unlock()
@@ -57,7 +57,7 @@
 			t.Fatalf("%v: %v", err, count)
 		}
 		mu.Lock()
-		ok := count["well"] >= 10 && count["panics"] > 3 && count["fails"] > 3 && s.Counts.Hung == 1
+		ok := count["well"] >= 10 && count["panics"] > 3 && count["fails"] > 3 && s.Counters.Hung == 1
 		mu.Unlock()
 		if ok {
 			break
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -28,8 +28,8 @@
 // come back from it: it is taken out of the installation and joins anew.
 var ErrCorrupt = errors.New("cluster: the store is corrupt")
 
-// ErrOwner says that a store's file is another member's, or of another form.
-var ErrOwner = errors.New("cluster: the store is not this member's")
+// ErrStoreMismatch says that a store's file is another member's, or of another form.
+var ErrStoreMismatch = errors.New("cluster: the store is not this member's")
 
 var (
 	bucketMeta    = []byte("meta")
@@ -84,7 +84,7 @@
 				return err
 			}
 			if len(v) != 8 || binary.BigEndian.Uint64(v) != n.want {
-				return fmt.Errorf("%w: %s: %s %x, not %d", ErrOwner, path, n.key, v, n.want)
+				return fmt.Errorf("%w: %s: %s %x, not %d", ErrStoreMismatch, path, n.key, v, n.want)
 			}
 		}
 		return nil
@@ -155,18 +155,18 @@
 }
 
 // Load reads all that the store holds, and checks that the log has no gap.
-func (s *Store) Load() (k *Kept, err error) {
+func (s *Store) Load() (k *StoredState, err error) {
 	defer s.guard(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file cut short under its map
-	k = &Kept{}
+	k = &StoredState{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if meta == nil || entries == nil {
 			return fmt.Errorf("%w: %s: a part is missing", ErrCorrupt, s.path)
 		}
 		if b := meta.Get(keyHard); b != nil {
-			k.Hard = &pb.HardState{}
-			if err := s.read(b, "the hard state", k.Hard); err != nil {
+			k.HardState = &pb.HardState{}
+			if err := s.read(b, "the hard state", k.HardState); err != nil {
 				return err
 			}
 		}
@@ -229,13 +229,13 @@
 }
 
 // Save writes a change, all or nothing.
-func (s *Store) Save(c *Change) (err error) {
+func (s *Store) Save(c *WriteBatch) (err error) {
 	defer s.guard(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
-		if c.Hard != nil {
-			if err := put(meta, keyHard, c.Hard); err != nil {
+		if c.HardState != nil {
+			if err := put(meta, keyHard, c.HardState); err != nil {
 				return err
 			}
 		}
@@ -244,7 +244,7 @@
 				return err
 			}
 			at := c.Snapshot.GetMetadata().GetIndex()
-			if err := cut(entries, 0, func(i uint64) bool { return c.Foreign || i <= at }); err != nil {
+			if err := cut(entries, 0, func(i uint64) bool { return c.Received || i <= at }); err != nil {
 				return err
 			}
 		}
@@ -263,7 +263,7 @@
 		switch {
 		case len(c.Entries) > 0:
 			return meta.Put(keyLast, seal(number(c.Entries[len(c.Entries)-1].GetIndex())))
-		case c.Foreign:
+		case c.Received:
 			return meta.Put(keyLast, seal(number(c.Snapshot.GetMetadata().GetIndex())))
 		}
 		return nil
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -28,9 +28,9 @@
 }
 
 // text is what a store holds, to compare.
-func text(k *Kept) string {
+func text(k *StoredState) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %d %d %q", k.Hard.GetTerm(), k.Hard.GetCommit(), k.Snapshot.GetMetadata().GetIndex(), k.Snapshot.GetData())
+	fmt.Fprintf(&b, "%d %d %d %q", k.HardState.GetTerm(), k.HardState.GetCommit(), k.Snapshot.GetMetadata().GetIndex(), k.Snapshot.GetData())
 	for _, e := range k.Entries {
 		fmt.Fprintf(&b, " %d/%d %q", e.GetTerm(), e.GetIndex(), e.GetData())
 	}
@@ -63,9 +63,9 @@
 		model := &memDisk{}
 		last, base := uint64(0), uint64(0)
 		for range 60 {
-			c := &Change{}
+			c := &WriteBatch{}
 			if r.IntN(2) == 0 {
-				c.Hard = hard(r.Uint64N(9), last)
+				c.HardState = hard(r.Uint64N(9), last)
 			}
 			switch r.IntN(8) {
 			case 0:
@@ -76,7 +76,7 @@
 			case 1:
 				base = last + r.Uint64N(5)
 				last = base
-				c.Snapshot, c.Foreign = snap(base, "foreign"), true
+				c.Snapshot, c.Received = snap(base, "foreign"), true
 			default:
 				from := base + 1 + r.Uint64N(last-base+1)
 				for i := range 1 + r.Uint64N(6) {
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	save := func(c *Change) ([]byte, string) {
+	save := func(c *WriteBatch) ([]byte, string) {
 		if err := s.Save(c); err != nil {
 			t.Fatal(err)
 		}
@@ -126,11 +126,11 @@
 		}
 		return b, text(k)
 	}
-	save(&Change{Hard: hard(1, 1), Snapshot: snap(1, strings.Repeat("state", 100))})
+	save(&WriteBatch{HardState: hard(1, 1), Snapshot: snap(1, strings.Repeat("state", 100))})
 	for i := range uint64(40) {
-		before, was = save(&Change{Hard: hard(2, i+1), Entries: []*pb.Entry{entry(2, i+2, fmt.Sprintf("entry %d %s", i, strings.Repeat("y", 200)))}})
+		before, was = save(&WriteBatch{HardState: hard(2, i+1), Entries: []*pb.Entry{entry(2, i+2, fmt.Sprintf("entry %d %s", i, strings.Repeat("y", 200)))}})
 	}
-	after, is = save(&Change{Hard: hard(3, 30), Entries: []*pb.Entry{entry(3, 30, "another"), entry(3, 31, "and one")}})
+	after, is = save(&WriteBatch{HardState: hard(3, 30), Entries: []*pb.Entry{entry(3, 30, "another"), entry(3, 31, "and one")}})
 	s.Close()
 	return before, after, was, is
 }
@@ -150,7 +150,7 @@
 		}
 		got, err := load(t, path)
 		switch {
-		case err != nil && (!strings.Contains(err.Error(), path) || !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOwner)):
+		case err != nil && (!strings.Contains(err.Error(), path) || !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStoreMismatch)):
 			t.Fatalf("%s: not an error of this file: %v", what, err)
 		case err != nil:
 			found++
@@ -233,7 +233,7 @@
 		t.Error(st, err)
 	}
 	s.Close()
-	if _, err := OpenStore(path, 2); !errors.Is(err, ErrOwner) {
+	if _, err := OpenStore(path, 2); !errors.Is(err, ErrStoreMismatch) {
 		t.Error(err)
 	}
 	if _, err := OpenStore(filepath.Join(t.TempDir(), "no", "such"), 1); err == nil || errors.Is(err, ErrCorrupt) {
