--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,10 +27,10 @@
 	ClassName   string
 	Tenant      string
 	Number      string
-	Description []byte // forwarded unchanged
-	Dest        int
-	Width       int
-	Transit     bool
+	Description []byte    // forwarded unchanged
+	Dest        int       // exchange or pool
+	Width       int       // circuits on each trunk group
+	Transit     bool      // forwarded by another proxy: only its last leg is open
 	AfterCut    bool      // a new set-up of an established call that was cut
 	Deadline    time.Time // when the caller gives up
 }
@@ -59,7 +59,7 @@
 	// Answer reports that the call is established. An error means that the caller did not
 	// receive the answer.
 	Answer(id uint64, description []byte) error
-	// Refuse reports that the call was refused and may be redialled after retryAfter.
+	// Refuse reports that the call was refused, and after which time it may be tried again.
 	Refuse(id uint64, retryAfter time.Duration)
 	// Fail reports that the set-up failed.
 	Fail(id uint64)
@@ -104,7 +104,7 @@
 	ID       string
 	Addr     string
 	Exchange int
-	Started  time.Time // zero: long ago or unknown
+	Started  time.Time // zero: long ago
 	State    routing.State
 }
 
@@ -172,11 +172,12 @@
 	closed          bool
 }
 
+// listedSwitch is a listed or removed switch with its link.
 type listedSwitch struct {
 	Switch
 	link              Link
-	source            string
-	removedGracefully bool // the link stays open until no call uses it
+	source            string // the SwitchList.Source that lists it
+	removedGracefully bool   // the link stays open until no call uses it
 }
 
 // unknownHangUp is the hang-up of a call that this core does not know.
@@ -202,8 +203,7 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	c := &Core{options: options, log: options.Log, startTime: time.Now(), ctx: ctx, callGroup: group,
-		controller: controller,
-		calls:      map[uint64]*callState{}, callsByName: map[string]*callState{},
+		controller: controller, calls: map[uint64]*callState{}, callsByName: map[string]*callState{},
 		switches: map[string]*listedSwitch{}, removedSwitches: map[*listedSwitch]bool{},
 		endedCalls: map[uint64]time.Time{}, changed: make(chan struct{}), shutdown: make(chan struct{}),
 		unknownHangUps: make(chan unknownHangUp, maxUnknownHangUps)}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -7,13 +7,13 @@
 
 // The final answers. Their String values are metric labels.
 const (
-	AnswerEstablished  FinalAnswer = iota
-	AnswerRefused                  // refused by the controller
-	AnswerFailed                   // failed by the controller
-	AnswerOverdue                  // failed by the core: the controller did not decide in time
-	AnswerCallerLeft               // none: the caller withdrew the set-up first
-	AnswerNotDelivered             // the caller's connection broke while the answer was written
-	AnswerShutdown                 // failed by the core: the proxy is about to exit
+	AnswerEstablished  FinalAnswer = iota // the call is established
+	AnswerRefused                         // refused by the controller
+	AnswerFailed                          // failed by the controller
+	AnswerOverdue                         // failed by the core: the controller did not decide in time
+	AnswerCallerLeft                      // none: the caller withdrew the set-up first
+	AnswerNotDelivered                    // the caller's connection broke while the answer was written
+	AnswerShutdown                        // failed by the core: the proxy is about to exit
 )
 
 func (a FinalAnswer) String() string {
@@ -31,7 +31,7 @@
 	EndProcessGone                   // its switch refuses connections, or another switch has its address
 	EndUnreachable                   // its switch was silent for too long
 	EndRemoved                       // its switch was removed from the list
-	EndRestarted                     // the list has a later start time for its switch
+	EndRestarted                     // the list reports a restart of its switch
 	EndShutdown                      // this proxy stops, and no other process could notify the caller
 	EndHandedOver                    // this proxy stopped; the next one forwards the call's release
 	EndNotDelivered                  // its answer did not reach the caller
