--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -16,7 +16,7 @@
 
 // conn is one connection from callers.
 type conn struct {
-	front *Front
+	front *Server
 	net.Conn
 	writing sync.Mutex // one message at a time
 	born    time.Time
@@ -36,7 +36,7 @@
 	last         time.Time       // when something usable came, or it began
 }
 
-func newConn(f *Front, nc net.Conn, at time.Time) *conn {
+func newConn(f *Server, nc net.Conn, at time.Time) *conn {
 	return &conn{front: f, Conn: nc, born: at, last: at, open: map[uint64]bool{}, standing: map[uint64]bool{}}
 }
 
@@ -57,7 +57,7 @@
 	}
 	f.mu.Lock()
 	why := c.closedWhy(err)
-	f.Count.CallerConnsClosed.WithLabelValues(why).Inc()
+	f.Metrics.CallerConnsClosed.WithLabelValues(why).Inc()
 	if why == metrics.CallerBroken || why == metrics.CallerMalformed {
 		f.Log.Warn("connection from a caller broke", "addr", c.RemoteAddr(), "error", err, "open", len(c.open))
 	}
@@ -73,9 +73,9 @@
 	}
 	f.mu.Unlock()
 	for id := range open {
-		f.Calls.HangUp(id)
+		f.Handler.HangUp(id)
 		if errors.Is(err, sig.ErrMalformed) {
-			failed := sig.WithCause(sig.Release, id, sig.CauseProtocol)
+			failed := sig.WithCause(sig.Release, id, sig.CauseProtocolError)
 			_ = c.send(&failed)
 		}
 	}
@@ -163,20 +163,20 @@
 		}
 		f.mu.Unlock()
 		if owner == nil || owner == c {
-			f.Calls.HangUp(m.Call) // what stands may be hung up on any connection
+			f.Handler.HangUp(m.Call) // what stands may be hung up on any connection
 			c.usable()
 		}
-		_ = c.send(&sig.Message{Type: sig.Heard, Call: m.Call})
+		_ = c.send(&sig.Message{Type: sig.ReleaseAck, Call: m.Call})
 		f.hungUp(m.Call)
 		if owner != nil && owner != c {
 			return c.unusable(errors.New("a release of a set-up that is open elsewhere"))
 		}
-	case sig.Heard:
+	case sig.ReleaseAck:
 		if f.acknowledged(c, m.Call) {
 			c.usable()
 		}
 	case sig.Test:
-		passed := sig.WithCause(sig.Tested, m.Call, 1)
+		passed := sig.WithCause(sig.TestResult, m.Call, 1)
 		_ = c.send(&passed)
 		c.usable()
 	case sig.Progress:
@@ -194,13 +194,13 @@
 // setUp takes a set-up in, or answers it at once.
 func (c *conn) setUp(m *sig.Message, at time.Time) error {
 	f := c.front
-	s, err := f.Form.setUp(m, at)
+	s, err := f.Rules.setUp(m, at)
 	if err == nil {
 		err = f.own(c, s.ID)
 	}
 	if err == nil {
 		c.usable()
-		if err = f.Calls.Offer(s, c); err == nil {
+		if err = f.Handler.Offer(s, c); err == nil {
 			return nil
 		}
 		f.mu.Lock()
@@ -216,13 +216,13 @@
 		_ = c.send(&busy)
 		return nil
 	}
-	failed := sig.WithCause(sig.Release, m.Call, sig.CauseContents)
+	failed := sig.WithCause(sig.Release, m.Call, sig.CauseInvalidContents)
 	_ = c.send(&failed)
 	return c.unusable(err)
 }
 
 // own notes that a set-up is open on a connection, or says why it can't be.
-func (f *Front) own(c *conn, id uint64) error {
+func (f *Server) own(c *conn, id uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch owner := f.owner[id]; {
@@ -230,9 +230,9 @@
 		return errTwice
 	case owner != nil:
 		return errTaken
-	case c.evicted, len(f.owner) >= f.MaxOpen:
+	case c.evicted, len(f.owner) >= f.MaxOpenSetUps:
 		return core.ErrBusy
-	case !c.trusted && (len(c.open) >= untrustedOpen || f.doubtful >= max(1, f.MaxOpen/untrustedPart)):
+	case !c.trusted && (len(c.open) >= untrustedOpen || f.doubtful >= max(1, f.MaxOpenSetUps/untrustedPart)):
 		return core.ErrBusy
 	}
 	f.owner[id], c.open[id] = c, true
@@ -244,7 +244,7 @@
 
 // disown notes that a set-up is not open any more; false if it was not open on
 // that connection. The lock is held.
-func (f *Front) disown(c *conn, id uint64) bool {
+func (f *Server) disown(c *conn, id uint64) bool {
 	if f.owner[id] != c {
 		return false
 	}
@@ -283,7 +283,7 @@
 
 // Fail says that a call failed.
 func (c *conn) Fail(id uint64) {
-	_ = c.answer(id, false, sig.WithCause(sig.Release, id, sig.CauseTemporary))
+	_ = c.answer(id, false, sig.WithCause(sig.Release, id, sig.CauseTemporaryFailure))
 }
 
 var errGone = errors.New("the set-up is not open any more")
@@ -316,7 +316,7 @@
 }
 
 // noLongerStands notes that a call that stood is over. The lock is held.
-func (f *Front) noLongerStands(id uint64) {
+func (f *Server) noLongerStands(id uint64) {
 	c := f.stands[id]
 	if c == nil {
 		return
@@ -327,14 +327,14 @@
 }
 
 // hungUp notes that a caller ended a call, or gave its set-up up.
-func (f *Front) hungUp(id uint64) {
+func (f *Server) hungUp(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.noLongerStands(id)
 }
 
 // answeredHere closes a connection of a front that drains if nothing is left on it.
-func (f *Front) answeredHere(c *conn) {
+func (f *Server) answeredHere(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closeIfDone(c)
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -40,14 +40,14 @@
 	maxMoves  = 16 // configurations that were read and whose events were not taken
 )
 
-// Channel follows the command channel's list of switches.
-type Channel struct {
-	Addr  string
-	List  func(core.SwitchList)
-	Log   *slog.Logger
-	Count *metrics.Set
-	// Missing is called after each poll that failed: the list may be old.
-	Missing func()
+// CommandChannel follows the command channel's list of switches.
+type CommandChannel struct {
+	Addr         string
+	OnSwitchList func(core.SwitchList)
+	Log          *slog.Logger
+	Metrics      *metrics.Set
+	// OnPollFailure is called after each poll that failed: the list may be old.
+	OnPollFailure func()
 
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
 	cursor   int64         // the last event taken; the follower's own
@@ -60,10 +60,10 @@
 	wake  chan struct{}      // has a value after Move
 }
 
-// NewChannel makes a channel that List hears of.
-func NewChannel(addr string, list func(core.SwitchList), log *slog.Logger, count *metrics.Set) *Channel {
+// NewCommandChannel makes a channel that List hears of.
+func NewCommandChannel(addr string, list func(core.SwitchList), log *slog.Logger, count *metrics.Set) *CommandChannel {
 	var dialer net.Dialer
-	return &Channel{dial: dialer.DialContext, Addr: addr, List: list, Log: log, Count: count, Missing: func() {}, patience: pollPatience,
+	return &CommandChannel{dial: dialer.DialContext, Addr: addr, OnSwitchList: list, Log: log, Metrics: count, OnPollFailure: func() {}, patience: pollPatience,
 		stop: func() {}, wake: make(chan struct{}, 1)}
 }
 
@@ -101,8 +101,8 @@
 
 var phases = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Removed}
 
-// ReadEvents reads events in the channel's form. One that can't be read spoils all.
-func ReadEvents(b []byte) (*Events, error) {
+// ParseEvents reads events in the channel's form. One that can't be read spoils all.
+func ParseEvents(b []byte) (*Events, error) {
 	var in events
 	if err := jsoniter.Unmarshal(b, &in); err != nil {
 		return nil, fmt.Errorf("events: %w", err)
@@ -129,14 +129,14 @@
 	return out, nil
 }
 
-// Take takes in the events that are new, in their order.
-func (c *Channel) Take(ev *Events) {
+// Apply takes in the events that are new, in their order.
+func (c *CommandChannel) Apply(ev *Events) {
 	for _, e := range ev.lists {
 		if e.cursor > 0 && e.cursor <= c.cursor {
 			continue
 		}
 		c.Log.Info("list of switches", "event", e.cursor, "complete", e.list.Full, "switches", len(e.list.Switches))
-		c.List(e.list)
+		c.OnSwitchList(e.list)
 		c.cursor = max(c.cursor, e.cursor)
 	}
 	c.cursor = max(c.cursor, ev.cursor)
@@ -145,7 +145,7 @@
 // Move makes the channel go on at another address, where the numbers continue;
 // known are the events that came with it. The poll that runs is ended: the old
 // address tells nothing more, and would only end it later.
-func (c *Channel) Move(addr string, known *Events) {
+func (c *CommandChannel) Move(addr string, known *Events) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.Addr {
@@ -164,7 +164,7 @@
 
 // next takes in what Move brought and returns where to ask, for how long a wait, and the
 // poll's context.
-func (c *Channel) next(ctx context.Context) (string, time.Duration, context.Context, context.CancelFunc) {
+func (c *CommandChannel) next(ctx context.Context) (string, time.Duration, context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	addr, known := c.Addr, c.moved
 	c.moved = nil
@@ -180,13 +180,13 @@
 	stop := c.stop
 	c.mu.Unlock()
 	for _, events := range known {
-		c.Take(events)
+		c.Apply(events)
 	}
 	return addr, block, ctx, stop
 }
 
 // hasMoved says whether Move was called since the poll began.
-func (c *Channel) hasMoved() bool {
+func (c *CommandChannel) hasMoved() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.moved) > 0
@@ -195,7 +195,7 @@
 var errEmpty = errors.New("a reply without events, well before the wait asked for")
 
 // Follow asks for new events until the context ends.
-func (c *Channel) Follow(ctx context.Context) error {
+func (c *CommandChannel) Follow(ctx context.Context) error {
 	// A dial has a limit of its own, and there is no limit on connections: a dial to a
 	// channel that is cut off outlives its poll, and would keep the next ones waiting.
 	tr := &http.Transport{MaxIdleConns: 1, DisableCompression: true,
@@ -218,7 +218,7 @@
 			break
 		}
 		moved := c.hasMoved()
-		c.Count.Polls.WithLabelValues(pollResult(err, c.cursor > had, moved)).Inc()
+		c.Metrics.Polls.WithLabelValues(pollResult(err, c.cursor > had, moved)).Inc()
 		if err == nil || moved {
 			gap = channelFirst
 			if err == nil {
@@ -240,7 +240,7 @@
 }
 
 // pause waits for some time, or until Move is called or the context ends.
-func (c *Channel) pause(ctx context.Context, d time.Duration) {
+func (c *CommandChannel) pause(ctx context.Context, d time.Duration) {
 	again := time.NewTimer(d)
 	defer again.Stop()
 	select {
@@ -252,7 +252,7 @@
 
 // pollSucceeded notes a poll that brought a reply. One that came quickly shows that the
 // channel is not slow any more.
-func (c *Channel) pollSucceeded(again bool, took time.Duration) {
+func (c *CommandChannel) pollSucceeded(again bool, took time.Duration) {
 	if c.failed > 0 {
 		c.Log.Info("command channel answers again", "failed", c.failed)
 	}
@@ -264,7 +264,7 @@
 
 // pollFailed notes a poll that failed. The next one may take longer if this one was
 // given up.
-func (c *Channel) pollFailed(err error, addr string) {
+func (c *CommandChannel) pollFailed(err error, addr string) {
 	c.failed++
 	if c.failed == 1 { // the others are counted
 		c.Log.Warn("command channel", "addr", addr, "error", err)
@@ -273,10 +273,10 @@
 	if errors.Is(err, context.DeadlineExceeded) && !(errors.As(err, &dial) && dial.Op == "dial") {
 		c.patience = pollPatienceMost
 	}
-	c.Missing()
+	c.OnPollFailure()
 }
 
-func addressOf(c *Channel) string {
+func addressOf(c *CommandChannel) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Addr
@@ -297,7 +297,7 @@
 	return metrics.PollFailed
 }
 
-func (c *Channel) poll(ctx context.Context, client *http.Client) error {
+func (c *CommandChannel) poll(ctx context.Context, client *http.Client) error {
 	addr, block, ctx, cancel := c.next(ctx)
 	defer cancel()
 	q := url.Values{"resume": {strconv.FormatInt(c.cursor, 10)}, "block": {strconv.FormatInt(block.Milliseconds(), 10)}}
@@ -320,10 +320,10 @@
 	case len(b) > maxEventsLen:
 		return errors.New("a reply that is too long")
 	}
-	ev, err := ReadEvents(b)
+	ev, err := ParseEvents(b)
 	if err != nil {
 		return err
 	}
-	c.Take(ev)
+	c.Apply(ev)
 	return nil
 }
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -21,7 +21,7 @@
 // Drain closes each connection as soon as nothing is left on it. New ones are still
 // taken, for callers that come again: what they ask is refused by the core, which must
 // have been stopped.
-func (f *Front) Drain() {
+func (f *Server) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.draining = true
@@ -32,7 +32,7 @@
 
 // closeIfDone closes a connection of a front that drains if nothing is left on it. One on
 // which nothing was asked yet may be about to. The lock is held.
-func (f *Front) closeIfDone(c *conn) {
+func (f *Server) closeIfDone(c *conn) {
 	if f.draining && c.asked && !c.isUsed() {
 		c.beginClose()
 	}
--- a/internal/platform/form.go
+++ b/internal/platform/form.go
@@ -11,17 +11,17 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-// Form is what a set-up must look like. Whatever differs is answered here: a
+// SetUpRules is what a set-up must look like. Whatever differs is answered here: a
 // switch closes its connection on what it can't read, with all calls on it.
-type Form struct {
-	Classes map[string]Class
-	Tenants map[string]bool // nil: any
-	Dests   int             // destinations are numbered below this
+type SetUpRules struct {
+	Classes   map[string]Class
+	Tenants   map[string]bool // nil: any
+	DestCount int             // destinations are numbered below this
 }
 
 // Class is what set-ups of a class have.
 type Class struct {
-	Place   int
+	Index   int
 	Width   int           // 0: any up to maxWidth
 	MaxWait time.Duration // its callers wait no longer than this
 }
@@ -35,7 +35,7 @@
 )
 
 // setUp reads a set-up. Parameters and figures that it does not know are skipped.
-func (f *Form) setUp(m *sig.Message, at time.Time) (*core.SetUp, error) {
+func (f *SetUpRules) setUp(m *sig.Message, at time.Time) (*core.SetUp, error) {
 	s := &core.SetUp{ID: m.Call, Dest: -1, Width: -1, ClassName: string(m.Get(sig.ParamClass)),
 		Tenant: string(m.Get(sig.ParamTenant)), Number: string(m.Get(sig.ParamNumber)),
 		Description: m.Get(sig.ParamDescription)}
@@ -55,9 +55,9 @@
 	case s.Description == nil:
 		return nil, errNoBody
 	}
-	s.Class = class.Place
+	s.Class = class.Index
 	s.Deadline = at.Add(min(class.MaxWait, time.Duration(min(wait, math.MaxInt32)*float64(time.Millisecond))))
-	for name, v := range sig.Figures(m.Get(sig.ParamFigures)) {
+	for name, v := range sig.Pairs(m.Get(sig.ParamAttributes)) {
 		var n int
 		switch name {
 		case "dest", "width", "transit", "again", "via":
@@ -79,7 +79,7 @@
 	switch {
 	case s.Dest < 0:
 		return nil, errNoDest
-	case s.Dest >= f.Dests:
+	case s.Dest >= f.DestCount:
 		return nil, fmt.Errorf("destination %d", s.Dest)
 	case s.Width == -1:
 		s.Width = max(1, class.Width)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,8 +12,8 @@
 	"violetspan.example/violetspan/internal/metrics"
 )
 
-// Calls is the core, as a front of callers sees it.
-type Calls interface {
+// CallHandler is the core, as a front of callers sees it.
+type CallHandler interface {
 	Offer(s *core.SetUp, from core.Caller) error
 	HangUp(id uint64)
 }
@@ -31,14 +31,14 @@
 	untrustedPart = 4 // of MaxOpen: all such connections together
 )
 
-// Front takes calls from callers' connections.
-type Front struct {
-	Calls    Calls
-	Form     Form
-	MaxConns int
-	MaxOpen  int // set-ups open at once
-	Log      *slog.Logger
-	Count    *metrics.Set
+// Server takes calls from callers' connections.
+type Server struct {
+	Handler       CallHandler
+	Rules         SetUpRules
+	MaxConns      int
+	MaxOpenSetUps int // set-ups open at once
+	Log           *slog.Logger
+	Metrics       *metrics.Set
 
 	silent, idle, rest time.Duration
 
@@ -54,15 +54,15 @@
 	wg           sync.WaitGroup // readers and releases; grows under mu while not closed
 }
 
-// NewFront makes a front. Its Calls may be set later, but before Serve.
-func NewFront(form Form, maxConns, maxOpen int, log *slog.Logger, count *metrics.Set) *Front {
-	return &Front{Form: form, MaxConns: maxConns, MaxOpen: maxOpen, Log: log, Count: count,
+// NewServer makes a front. Its Calls may be set later, but before Serve.
+func NewServer(form SetUpRules, maxConns, maxOpen int, log *slog.Logger, count *metrics.Set) *Server {
+	return &Server{Rules: form, MaxConns: maxConns, MaxOpenSetUps: maxOpen, Log: log, Metrics: count,
 		silent: callerSilent, idle: callerIdle, rest: callerRest,
 		conns: map[*conn]bool{}, owner: map[uint64]*conn{}, stands: map[uint64]*conn{}, releases: map[uint64]*pendingRelease{}}
 }
 
 // Serve accepts connections until the listener closes.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -82,7 +82,7 @@
 
 // add takes a connection in and starts its reader. Where there is no room, the
 // one that is missed least makes some.
-func (f *Front) add(c *conn) bool {
+func (f *Server) add(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -92,7 +92,7 @@
 		out := f.leastMissed()
 		if out == nil {
 			f.Log.Warn("too many connections from callers, all with calls", "limit", f.MaxConns)
-			f.Count.CallerConnsClosed.WithLabelValues(metrics.CallerNoRoom).Inc()
+			f.Metrics.CallerConnsClosed.WithLabelValues(metrics.CallerNoRoom).Inc()
 			return false
 		}
 		delete(f.conns, out)
@@ -110,7 +110,7 @@
 // silent for longest. A connection may be kept for good by a client that asked
 // once; the protocol allows closing it, and a set-up that crosses the close comes
 // again. A new one that never asked may be about to: it has a moment for that.
-func (f *Front) leastMissed() *conn {
+func (f *Server) leastMissed() *conn {
 	var mute, idle *conn
 	young := time.Now().Add(-f.silent / 10)
 	for c := range f.conns {
@@ -128,8 +128,8 @@
 	return idle
 }
 
-// Conns returns how many connections from callers are open.
-func (f *Front) Conns() int {
+// ConnCount returns how many connections from callers are open.
+func (f *Server) ConnCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
@@ -137,7 +137,7 @@
 
 // Close closes every connection, once what was written to it is read and answered, and
 // waits for their readers.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
 	f.closed, f.draining = true, true
 	var all []*conn
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -23,7 +23,7 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-var testForm = Form{Classes: map[string]Class{"space-check": {Width: 1, MaxWait: time.Hour}}, Dests: 3}
+var testForm = SetUpRules{Classes: map[string]Class{"space-check": {Width: 1, MaxWait: time.Hour}}, DestCount: 3}
 
 type offers chan core.Caller // must have room for all that a test offers
 
@@ -36,9 +36,9 @@
 	return dial()
 }
 
-func serveFront(t *testing.T, conns, open int, silent, rest time.Duration) (*Front, func() net.Conn) {
-	f := NewFront(testForm, conns, open, slog.New(slog.DiscardHandler), metrics.New())
-	f.Calls, f.silent, f.rest = make(offers, 1000), silent, rest
+func serveFront(t *testing.T, conns, open int, silent, rest time.Duration) (*Server, func() net.Conn) {
+	f := NewServer(testForm, conns, open, slog.New(slog.DiscardHandler), metrics.New())
+	f.Handler, f.silent, f.rest = make(offers, 1000), silent, rest
 	ln, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,10 +64,10 @@
 }
 
 // offered waits for a set-up that reaches the core.
-func offered(t *testing.T, f *Front) core.Caller {
+func offered(t *testing.T, f *Server) core.Caller {
 	t.Helper()
 	select {
-	case from := <-f.Calls.(offers):
+	case from := <-f.Handler.(offers):
 		return from
 	case <-time.After(20 * time.Second):
 		t.Fatal("no set-up was offered")
@@ -100,7 +100,7 @@
 
 func setUpOf(id uint64) sig.Message {
 	return sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{{Code: sig.ParamClass, Value: []byte("space-check")},
-		{Code: sig.ParamWait, Value: []byte("60000")}, {Code: sig.ParamFigures, Value: []byte("dest:1")},
+		{Code: sig.ParamWait, Value: []byte("60000")}, {Code: sig.ParamAttributes, Value: []byte("dest:1")},
 		{Code: sig.ParamNumber, Value: []byte("1")}, {Code: sig.ParamDescription, Value: []byte("d")}}}
 }
 
@@ -127,7 +127,7 @@
 		if got := hear(t, out); got != "" {
 			t.Errorf("got %q, want the end of the connection", got)
 		}
-		say(t, c, setUpOf(uint64(f.Conns())<<32|uint64(len(f.owner))))
+		say(t, c, setUpOf(uint64(f.ConnCount())<<32|uint64(len(f.owner))))
 		offered(t, f)
 	}
 	last := dial() // no one to close: all have set-ups open
@@ -179,7 +179,7 @@
 			t.Fatalf("got %q, want %q", got, want)
 		}
 		if id == 1 {
-			say(t, a, sig.Message{Type: sig.Heard, Call: 1})
+			say(t, a, sig.Message{Type: sig.ReleaseAck, Call: 1})
 			say(t, a, test) // once its answer is here, the acknowledgement was read
 			hear(t, a)
 		}
@@ -187,7 +187,7 @@
 	if got := hear(t, b); got != "12 2 16" {
 		t.Errorf("got %q, want the release that was not acknowledged", got)
 	}
-	say(t, b, sig.Message{Type: sig.Heard, Call: 2})
+	say(t, b, sig.Message{Type: sig.ReleaseAck, Call: 2})
 	f.WaitForReleases(t.Context())
 }
 
@@ -243,8 +243,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFront(testForm, 8, 8, slog.New(slog.DiscardHandler), metrics.New())
-	f.Calls = make(offers, 1)
+	f := NewServer(testForm, 8, 8, slog.New(slog.DiscardHandler), metrics.New())
+	f.Handler = make(offers, 1)
 	nc := &mute{sends: b, events: make(chan string, 4)}
 	c := newConn(f, nc, time.Now())
 	c.read()
@@ -287,7 +287,7 @@
 	defer srv.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	c := NewChannel(srv.Listener.Addr().String(), nil, slog.New(slog.DiscardHandler), metrics.New())
+	c := NewCommandChannel(srv.Listener.Addr().String(), nil, slog.New(slog.DiscardHandler), metrics.New())
 	if err := c.Follow(ctx); err != nil || asked.Load() == 0 || asked.Load() > 20 {
 		t.Errorf("asked %d times, %v", asked.Load(), err)
 	}
@@ -325,7 +325,7 @@
 		}
 		f.mu.Unlock()
 	}
-	f.Calls = stopped{}
+	f.Handler = stopped{}
 	f.Drain()
 	if got := hear(t, idle); got != "" {
 		t.Errorf("got %q, want the end of the idle connection", got)
@@ -370,7 +370,7 @@
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewChannel(srv.Listener.Addr().String(), nil, slog.New(slog.DiscardHandler), metrics.New())
+	c := NewCommandChannel(srv.Listener.Addr().String(), nil, slog.New(slog.DiscardHandler), metrics.New())
 	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if !up.Load() {
 			<-ctx.Done() // however long it takes, as a dial into the void
--- a/internal/platform/link.go
+++ b/internal/platform/link.go
@@ -75,13 +75,13 @@
 	case sig.Release:
 		ev.Kind = trunk.End
 		ev.End, ev.Note = end(&m)
-	case sig.Group:
+	case sig.GroupState:
 		if ev.Report, ev.Note = groupState(&m); ev.Note == nil {
 			ev.Kind = trunk.Group
 		}
 	case sig.Test:
 		ev.Kind = trunk.Test
-	case sig.Progress, sig.Heard, sig.Tested:
+	case sig.Progress, sig.ReleaseAck, sig.TestResult:
 	default:
 		return ev, fmt.Errorf("%w: type %d of a switch", sig.ErrMalformed, m.Type)
 	}
@@ -104,11 +104,13 @@
 
 // AcknowledgeRelease says that a release was heard.
 func (c *switchConn) AcknowledgeRelease(id uint64) error {
-	return c.send(sig.Message{Type: sig.Heard, Call: id})
+	return c.send(sig.Message{Type: sig.ReleaseAck, Call: id})
 }
 
 // ReplyToTest says that a test has passed.
-func (c *switchConn) ReplyToTest(id uint64) error { return c.send(sig.WithCause(sig.Tested, id, 1)) }
+func (c *switchConn) ReplyToTest(id uint64) error {
+	return c.send(sig.WithCause(sig.TestResult, id, 1))
+}
 
 // CloseWrite says that nothing more will be written.
 func (c *switchConn) CloseWrite() error { return closeWrite(c.Conn) }
@@ -146,15 +148,15 @@
 
 // end reads why a switch released a call.
 func end(m *sig.Message) (core.Outcome, error) {
-	e := core.Outcome{Cause: notes[string(m.Get(sig.ParamNote))]}
+	e := core.Outcome{Cause: notes[string(m.Get(sig.ParamCauseDetail))]}
 	switch cause := m.Cause(); cause {
 	case sig.CauseNoCircuit, sig.CauseCongestion:
 		e.Result = routing.Refused
-	case sig.CauseBusy, sig.CauseResource:
+	case sig.CauseBusy, sig.CauseResourceUnavailable:
 		e.Result = routing.Failed
-	case sig.CauseTimer:
+	case sig.CauseTimerExpired:
 		e.Result = routing.NotSent
-	case sig.CauseTemporary:
+	case sig.CauseTemporaryFailure:
 		e.Result = routing.Reset
 	case sig.CauseNormal:
 		e.Result = routing.Ended
@@ -177,7 +179,7 @@
 // tells of itself, by the names that the settings use for report columns.
 func groupState(m *sig.Message) (routing.Report, error) {
 	r := routing.NoReport
-	for name, v := range sig.Figures(m.Get(sig.ParamReport)) {
+	for name, v := range sig.Pairs(m.Get(sig.ParamReport)) {
 		if err := r.Set(name, v); err != nil {
 			return r, fmt.Errorf("figure %s: %w", name, err)
 		}
--- a/internal/platform/release.go
+++ b/internal/platform/release.go
@@ -39,9 +39,9 @@
 	send()
 }
 
-// UnknownRelease passes on the release of a call that is not known here. It never blocks:
+// ForwardUnknownRelease passes on the release of a call that is not known here. It never blocks:
 // the readers of switches call it, and a slow caller must not hold them.
-func (f *Front) UnknownRelease(id uint64, cut bool) {
+func (f *Server) ForwardUnknownRelease(id uint64, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if send := f.release(id, cut, nil); !f.closed {
@@ -54,12 +54,12 @@
 // is lost without an error, and a connection that is no caller's swallows it, such as a
 // bad client's or that of the test after a start. What it
 // returns does the writing, without the lock, which is held here.
-func (f *Front) release(id uint64, cut bool, on *conn) (send func()) {
+func (f *Server) release(id uint64, cut bool, on *conn) (send func()) {
 	if f.closed || f.releases[id] != nil {
 		return func() {}
 	}
 	if len(f.releases) >= maxPendingReleases {
-		f.Count.Releases.WithLabelValues(metrics.ReleaseNoRoom).Inc()
+		f.Metrics.Releases.WithLabelValues(metrics.ReleaseNoRoom).Inc()
 		f.Log.Error("a release is lost: too many wait", "call", callName(id))
 		return func() {}
 	}
@@ -74,7 +74,7 @@
 
 // sendOn sends a release on a connection; without one it waits for the next that
 // opens. The lock is held.
-func (f *Front) sendOn(r *pendingRelease, c *conn) (send func()) {
+func (f *Server) sendOn(r *pendingRelease, c *conn) (send func()) {
 	if c == nil {
 		r.sentOn = nil
 		r.timer.Reset(time.Until(r.until))
@@ -84,7 +84,7 @@
 	return func() {
 		m := releaseOf(r.id, r.cut)
 		err := c.send(&m)
-		f.Count.Releases.WithLabelValues(metrics.ReleaseSent).Inc()
+		f.Metrics.Releases.WithLabelValues(metrics.ReleaseSent).Inc()
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		r.out = false
@@ -109,17 +109,17 @@
 }
 
 // again sends a release elsewhere. The lock is held.
-func (f *Front) again(r *pendingRelease) {
+func (f *Server) again(r *pendingRelease) {
 	if f.closed || !time.Now().Before(r.until) {
 		f.drop(r)
 		return
 	}
-	f.Count.Releases.WithLabelValues(metrics.ReleaseRepeated).Inc()
+	f.Metrics.Releases.WithLabelValues(metrics.ReleaseRepeated).Inc()
 	f.wg.Go(f.sendOn(r, f.pick(r.sentOn)))
 }
 
 // due is called when a release has waited long enough.
-func (f *Front) due(r *pendingRelease) {
+func (f *Server) due(r *pendingRelease) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -132,7 +132,7 @@
 }
 
 // forget drops a release that nothing more is to be done for. The lock is held.
-func (f *Front) forget(r *pendingRelease) {
+func (f *Server) forget(r *pendingRelease) {
 	delete(f.releases, r.id)
 	r.timer.Stop()
 	if r.sentOn != nil {
@@ -141,21 +141,21 @@
 }
 
 // drop forgets a release that nobody acknowledged. The lock is held.
-func (f *Front) drop(r *pendingRelease) {
+func (f *Server) drop(r *pendingRelease) {
 	f.forget(r)
 	switch {
 	case f.closed:
 	case r.sentOn == nil:
-		f.Count.Releases.WithLabelValues(metrics.ReleaseNoConnection).Inc()
+		f.Metrics.Releases.WithLabelValues(metrics.ReleaseNoConnection).Inc()
 		f.Log.Error("a release is lost: no connection from callers", "call", callName(r.id))
 	default:
-		f.Count.Releases.WithLabelValues(metrics.ReleaseUnacknowledged).Inc()
+		f.Metrics.Releases.WithLabelValues(metrics.ReleaseUnacknowledged).Inc()
 		f.Log.Warn("a release was not acknowledged", "call", callName(r.id))
 	}
 }
 
 // acknowledged takes in an acknowledgement; false if nothing was to be acknowledged.
-func (f *Front) acknowledged(c *conn, id uint64) bool {
+func (f *Server) acknowledged(c *conn, id uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.releases[id]
@@ -163,14 +163,14 @@
 		return false
 	}
 	f.acknowledges, c.acknowledges = true, true
-	f.Count.Releases.WithLabelValues(metrics.ReleaseAcknowledged).Inc()
+	f.Metrics.Releases.WithLabelValues(metrics.ReleaseAcknowledged).Inc()
 	f.forget(r)
 	return true
 }
 
 // sendElsewhere sends the releases that a closed connection may have swallowed elsewhere,
 // if its caller acknowledges what it gets.
-func (f *Front) sendElsewhere(c *conn) {
+func (f *Server) sendElsewhere(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.releases {
@@ -182,7 +182,7 @@
 
 // WaitForReleases waits until no release is being written, or waits for its
 // acknowledgement by callers who give one.
-func (f *Front) WaitForReleases(ctx context.Context) {
+func (f *Server) WaitForReleases(ctx context.Context) {
 	look := time.NewTicker(acknowledgementsCheck)
 	defer look.Stop()
 	for {
@@ -204,7 +204,7 @@
 }
 
 // flush sends what waits for a connection. The lock is held.
-func (f *Front) flush() {
+func (f *Server) flush() {
 	for _, r := range f.releases {
 		if r.sentOn == nil && !r.out {
 			f.wg.Go(f.sendOn(r, f.pick(nil)))
@@ -215,7 +215,7 @@
 // pick chooses a connection for a release, another than the one given if there
 // is any: best one whose caller acknowledges, then one with calls, then one that
 // asked for something, and the one that was used last. The lock is held.
-func (f *Front) pick(not *conn) *conn {
+func (f *Server) pick(not *conn) *conn {
 	rank := func(c *conn) int {
 		switch {
 		case c == not:
@@ -245,7 +245,7 @@
 func releaseOf(id uint64, cut bool) sig.Message {
 	cause := sig.CauseNormal
 	if cut {
-		cause = sig.CauseTemporary
+		cause = sig.CauseTemporaryFailure
 	}
 	return sig.WithCause(sig.Release, id, cause)
 }
--- a/internal/proxy/mixed_test.go
+++ b/internal/proxy/mixed_test.go
@@ -180,10 +180,10 @@
 						send(sig.Message{Type: sig.Answer, Call: m.Call, Params: []sig.Param{{Code: sig.ParamDescription, Value: []byte(d)}}})
 						time.AfterFunc(20*time.Millisecond, func() { over.send(m.Call) })
 					case "full", "fault":
-						cause := map[string]byte{"full": sig.CauseNoCircuit, "fault": sig.CauseResource}[does]
+						cause := map[string]byte{"full": sig.CauseNoCircuit, "fault": sig.CauseResourceUnavailable}[does]
 						j.ended(sw.name, n, false)
 						send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{
-							{Code: sig.ParamNote, Value: []byte("no_path")}, {Code: sig.ParamCause, Value: []byte{cause}}}})
+							{Code: sig.ParamCauseDetail, Value: []byte("no_path")}, {Code: sig.ParamCause, Value: []byte{cause}}}})
 					case "break":
 						for _, n := range numbers {
 							j.ended(sw.name, n, true)
@@ -254,7 +254,7 @@
 			m := sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 				{Code: sig.ParamClass, Value: []byte("space-check")}, {Code: sig.ParamNumber, Value: []byte(number)},
 				{Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
-				{Code: sig.ParamFigures, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", 1+id%3)}, {Code: sig.ParamTenant, Value: []byte("main-lot")},
+				{Code: sig.ParamAttributes, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", 1+id%3)}, {Code: sig.ParamTenant, Value: []byte("main-lot")},
 				{Code: sig.ParamDescription, Value: []byte("d")}}}
 			b, _ := m.Append(nil)
 			c.Write(b)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -82,8 +82,8 @@
 	Reread func() (*config.Platform, error)
 
 	core    *core.Core
-	front   *platform.Front
-	channel *platform.Channel
+	front   *platform.Server
+	channel *platform.CommandChannel
 	api     *callapi.Front
 	tenants *tenant.Registry
 	planner *planner.Loop // nil: off
@@ -287,14 +287,14 @@
 	p.gauges()
 	g.Go(func() error { return p.logMetrics(life) })
 	if pf := p.platform; pf != nil {
-		p.front.Calls = p.core
-		known, err := platform.ReadEvents(pf.Known)
+		p.front.Handler = p.core
+		known, err := platform.ParseEvents(pf.Known)
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
-		p.channel.Missing = p.core.ProbeEarly
-		p.channel.Take(known)
+		p.channel = platform.NewCommandChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
+		p.channel.OnPollFailure = p.core.ProbeEarly
+		p.channel.Apply(known)
 		ln, err := platform.Listen(life, pf.Listen)
 		if err != nil {
 			return stop, fmt.Errorf("key listen: %w", err)
@@ -350,8 +350,8 @@
 	if pf := p.platform; pf != nil {
 		set, opt.Seed = &pf.Settings, pf.Seed
 		bounds := pf.Bounds()
-		p.front = platform.NewFront(form(set), bounds.Conns, bounds.Open, p.log, p.count)
-		opt.OnUnknownRelease, opt.MaxCalls = p.front.UnknownRelease, bounds.Calls
+		p.front = platform.NewServer(form(set), bounds.Conns, bounds.Open, p.log, p.count)
+		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.Calls
 	} else {
 		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
@@ -379,10 +379,10 @@
 }
 
 // form is what set-ups on the platform must look like by the settings.
-func form(set *config.Settings) platform.Form {
-	f := platform.Form{Classes: map[string]platform.Class{}, Tenants: set.Tenants, Dests: dests(set)}
+func form(set *config.Settings) platform.SetUpRules {
+	f := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: set.Tenants, DestCount: dests(set)}
 	for name, i := range set.Classes {
-		k := platform.Class{Place: i, MaxWait: set.Brain.Classes[i].Deadline}
+		k := platform.Class{Index: i, MaxWait: set.Brain.Classes[i].Deadline}
 		if set.Widths {
 			k.Width = set.Brain.Classes[i].Width
 		}
@@ -427,7 +427,7 @@
 		if pf, err = p.Reread(); err != nil {
 			return err
 		}
-		if known, err = platform.ReadEvents(pf.Known); err != nil {
+		if known, err = platform.ParseEvents(pf.Known); err != nil {
 			return fmt.Errorf("key known: %w", err)
 		}
 	}
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -453,7 +453,7 @@
 		unanswered, standing := s.p.core.Counts()
 		now := []string{fmt.Sprintf("calls %d %d", unanswered, standing)}
 		acme, _ := s.p.tenants.Get("acme")
-		now = append(now, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.front.Conns()))
+		now = append(now, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.front.ConnCount()))
 		states := map[string]string{}
 		for _, m := range s.p.core.Switches() {
 			states[m.ID] = [...]string{"up", "draining", "gone"}[m.State]
--- a/internal/sig/sig.go
+++ b/internal/sig/sig.go
@@ -15,14 +15,14 @@
 
 // The messages that the platform knows.
 const (
-	SetUp    Type = 1
-	Progress Type = 6
-	Answer   Type = 9
-	Release  Type = 12 // also a refusal, and with CauseNormal a set-up that is given up
-	Heard    Type = 16
-	Group    Type = 43
-	Test     Type = 52
-	Tested   Type = 53
+	SetUp      Type = 1
+	Progress   Type = 6
+	Answer     Type = 9
+	Release    Type = 12 // also a refusal, and with CauseNormal a set-up that is given up
+	ReleaseAck Type = 16
+	GroupState Type = 43
+	Test       Type = 52
+	TestResult Type = 53
 )
 
 // Codes of parameters.
@@ -31,8 +31,8 @@
 	ParamWait        byte = 183 // milliseconds, in decimal digits
 	ParamTenant      byte = 186
 	ParamNumber      byte = 192
-	ParamFigures     byte = 195
-	ParamNote        byte = 201
+	ParamAttributes  byte = 195
+	ParamCauseDetail byte = 201
 	ParamReport      byte = 207 // figures of a group's state
 	ParamCause       byte = 222 // one byte
 	ParamDescription byte = 225
@@ -40,15 +40,15 @@
 
 // Causes of a release, as Q.850 numbers them.
 const (
-	CauseNormal     byte = 16
-	CauseBusy       byte = 17
-	CauseNoCircuit  byte = 34
-	CauseTemporary  byte = 41
-	CauseCongestion byte = 42
-	CauseResource   byte = 47
-	CauseContents   byte = 100
-	CauseTimer      byte = 102
-	CauseProtocol   byte = 111
+	CauseNormal              byte = 16
+	CauseBusy                byte = 17
+	CauseNoCircuit           byte = 34
+	CauseTemporaryFailure    byte = 41
+	CauseCongestion          byte = 42
+	CauseResourceUnavailable byte = 47
+	CauseInvalidContents     byte = 100
+	CauseTimerExpired        byte = 102
+	CauseProtocolError       byte = 111
 )
 
 // MaxLength is the most that a message may hold, its length field included.
@@ -150,8 +150,8 @@
 	return m, nil
 }
 
-// Figures walks the name:value pairs of parameter 195.
-func Figures(v []byte) iter.Seq2[string, string] {
+// Pairs walks the name:value pairs of parameter 195.
+func Pairs(v []byte) iter.Seq2[string, string] {
 	return func(yield func(string, string) bool) {
 		for len(v) > 0 {
 			var pair []byte
--- a/internal/sig/sig_test.go
+++ b/internal/sig/sig_test.go
@@ -15,7 +15,7 @@
 		want        Message
 		err         error
 	}{
-		{"no parameter", "\x00\x09\x10\x00\x00\x00\x00\x00\x00\x00\xa1", Message{Type: Heard, Call: 0xa1}, nil},
+		{"no parameter", "\x00\x09\x10\x00\x00\x00\x00\x00\x00\x00\xa1", Message{Type: ReleaseAck, Call: 0xa1}, nil},
 		{"a cause", "\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00\x01\x22",
 			Message{Release, 0xa1, []Param{{ParamCause, []byte{34}}}}, nil},
 		{"an empty value", "\x00\x0c\x09\x00\x00\x00\x00\x00\x00\x00\xa1\xe1\x00\x00",
@@ -57,9 +57,9 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestPairs(t *testing.T) {
 	got := map[string]string{}
-	for name, v := range Figures([]byte("dest:2;width:1;via:-1;odd;;transit:1")) {
+	for name, v := range Pairs([]byte("dest:2;width:1;via:-1;odd;;transit:1")) {
 		got[name] = v
 	}
 	want := map[string]string{"dest": "2", "width": "1", "via": "-1", "odd": "", "": "", "transit": "1"}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -196,7 +196,7 @@
 	m := sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 		{Code: sig.ParamClass, Value: []byte(h.Class)}, {Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
 		{Code: sig.ParamTenant, Value: []byte(h.Tenant)}, {Code: sig.ParamNumber, Value: fmt.Appendf(nil, "%016x", id)},
-		{Code: sig.ParamFigures, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)},
+		{Code: sig.ParamAttributes, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)},
 		{Code: sig.ParamDescription, Value: fmt.Appendf(nil, "call %d", id)}}}
 	b, err := m.Append(nil)
 	if err != nil {
@@ -315,7 +315,7 @@
 			}
 			c.over(m.Call)
 			if !c.Habits.Silent {
-				go cc.say(sig.Message{Type: sig.Heard, Call: m.Call}) // a slow writer reads on
+				go cc.say(sig.Message{Type: sig.ReleaseAck, Call: m.Call}) // a slow writer reads on
 			}
 		}
 	}
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -78,7 +78,7 @@
 				case sig.Release:
 					r.released(x, to, m.Call)
 				case sig.Test:
-					w.send(sig.WithCause(sig.Tested, m.Call, 1))
+					w.send(sig.WithCause(sig.TestResult, m.Call, 1))
 				}
 			})
 		})
@@ -242,7 +242,7 @@
 // figures reads the description that a set-up passes on unchanged.
 func figures(m *sig.Message) (v map[string]int) {
 	v = map[string]int{}
-	for name, text := range sig.Figures(m.Get(sig.ParamDescription)) {
+	for name, text := range sig.Pairs(m.Get(sig.ParamDescription)) {
 		v[name], _ = strconv.Atoi(text)
 	}
 	return v
@@ -259,7 +259,7 @@
 func (r *Mesh) tell(e [2]int) {
 	if ws := r.toward[e]; len(ws) > 0 {
 		k := ends(e[0], e[1])
-		m := sig.Message{Type: sig.Group, Params: []sig.Param{{Code: sig.ParamReport, Value: fmt.Appendf(nil, "spare:%d;total:%d", r.free[k], r.size[k])}}}
+		m := sig.Message{Type: sig.GroupState, Params: []sig.Param{{Code: sig.ParamReport, Value: fmt.Appendf(nil, "spare:%d;total:%d", r.free[k], r.size[k])}}}
 		ws[len(ws)-1].send(m)
 	}
 }
@@ -276,7 +276,7 @@
 	r.counts["set-ups"]++
 	g := ends(from, to)
 	refuse := func(note string) {
-		w.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamNote, Value: []byte(note)}}})
+		w.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamCauseDetail, Value: []byte(note)}}})
 	}
 	if r.free[g] < f["width"] {
 		refuse("no_path")
@@ -333,7 +333,7 @@
 	r.take(ends(l.from, l.to), -l.width)
 	m := sig.WithCause(sig.Release, l.id, cause)
 	if cause == sig.CauseNoCircuit {
-		m.Params = append(m.Params, sig.Param{Code: sig.ParamNote, Value: []byte("sent_back")})
+		m.Params = append(m.Params, sig.Param{Code: sig.ParamCauseDetail, Value: []byte("sent_back")})
 	}
 	l.w.send(m)
 }
@@ -367,7 +367,7 @@
 	r.front[at].send(sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 		{Code: sig.ParamClass, Value: []byte(r.cfg.Classes[class].Name)}, {Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
 		{Code: sig.ParamTenant, Value: []byte("main-lot")}, {Code: sig.ParamNumber, Value: fmt.Appendf(nil, "%016x", id)},
-		{Code: sig.ParamFigures, Value: []byte(fig)}, {Code: sig.ParamDescription, Value: description}}})
+		{Code: sig.ParamAttributes, Value: []byte(fig)}, {Code: sig.ParamDescription, Value: description}}})
 	return id
 }
 
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -123,7 +123,7 @@
 		return false
 	}
 	got, err := sig.Read(c)
-	return err == nil && got.Type == sig.Tested && got.Cause() == 1
+	return err == nil && got.Type == sig.TestResult && got.Cause() == 1
 }
 
 // Signal sends a signal to the incarnation that runs.
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -241,7 +241,7 @@
 	pending := p.pending
 	p.pending = nil
 	p.mu.Unlock()
-	p.send(c, sig.Message{Type: sig.Group, Params: []sig.Param{{Code: sig.ParamReport, Value: []byte("spare:1000;total:1000")}}})
+	p.send(c, sig.Message{Type: sig.GroupState, Params: []sig.Param{{Code: sig.ParamReport, Value: []byte("spare:1000;total:1000")}}})
 	for _, id := range pending {
 		p.sendRelease(c, id)
 	}
@@ -315,7 +315,7 @@
 	case draining || is(temper.Full):
 		p.refuse(c, m.Call, sig.CauseNoCircuit, "queue_long")
 	case is(temper.Fault):
-		p.refuse(c, m.Call, sig.CauseResource, "")
+		p.refuse(c, m.Call, sig.CauseResourceUnavailable, "")
 	case is(temper.Mute):
 	case is(temper.Reset):
 		p.forget(m.Call, true)
@@ -345,7 +345,7 @@
 func (p *switchPort) refuse(c *PortConn, id uint64, cause byte, note string) {
 	if p.forget(id, false) {
 		m := sig.WithCause(sig.Release, id, cause)
-		m.Params = append(m.Params, sig.Param{Code: sig.ParamNote, Value: []byte(note)})
+		m.Params = append(m.Params, sig.Param{Code: sig.ParamCauseDetail, Value: []byte(note)})
 		p.send(c, m)
 	}
 }
