--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		p.t.Fatalf("instance %d: %v", i+1, err)
 	}
-	p.w.At(uint64(i+1), strings.TrimSpace(addr))
+	p.w.SetAddr(uint64(i+1), strings.TrimSpace(addr))
 	p.cmds[i], p.ins[i] = cmd, in
 }
 
@@ -305,10 +305,10 @@
 			if how == 2 {
 				for j := uint64(1); j <= n; j++ {
 					if oneWay && j != other { // what it says reaches nobody but one; it hears all
-						w.Cut(me, j, true)
+						w.SetCut(me, j, true)
 					} else if !oneWay {
-						w.Cut(me, j, true)
-						w.Cut(j, me, true)
+						w.SetCut(me, j, true)
+						w.SetCut(j, me, true)
 					}
 				}
 			}
@@ -320,8 +320,8 @@
 				_ = p.cmds[i].Process.Signal(syscall.SIGCONT)
 			default:
 				for j := uint64(1); j <= n; j++ {
-					w.Cut(me, j, false)
-					w.Cut(j, me, false)
+					w.SetCut(me, j, false)
+					w.SetCut(j, me, false)
 				}
 			}
 		})
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -28,7 +28,7 @@
 	defer cancel()
 	done := make(chan error, n)
 	for x := range n {
-		addrs, err := world.Switches(x)
+		addrs, err := world.OpenSwitches(x)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,14 +60,14 @@
 		if events != nil {
 			p.core.ApplyPlan(events[x], time.Now().Add(time.Hour))
 		}
-		if err := world.Callers(x, p.CallAddr.String()); err != nil {
+		if err := world.ConnectCallers(x, p.CallAddr.String()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	world.Play()
+	world.Run()
 	// What is still out is answered within its time; what stands is hung up by its end.
 	for deadline := time.Now().Add(patience + 10*cfg.Classes[1].Hold); ; time.Sleep(20 * time.Millisecond) {
-		calls, legs := world.Left()
+		calls, legs := world.Unfinished()
 		if calls+legs == 0 {
 			break
 		}
--- a/internal/soak/incident_test.go
+++ b/internal/soak/incident_test.go
@@ -11,10 +11,10 @@
 
 // newWorld starts a world that ends with the test. A failing test shows the ends of the
 // proxies' logs.
-func newWorld(t *testing.T, plan standin.Plan) *standin.World {
+func newWorld(t *testing.T, plan standin.TestbedConfig) *standin.Testbed {
 	t.Helper()
 	plan.Binary, plan.Dir = binary, t.TempDir()
-	w, err := standin.NewWorld(plan)
+	w, err := standin.NewTestbed(plan)
 	t.Cleanup(func() {
 		if err := w.Close(); err != nil {
 			t.Error(err)
@@ -34,8 +34,8 @@
 	logLineSize = 300
 )
 
-func showLogs(t *testing.T, w *standin.World) {
-	for _, path := range w.Logs() {
+func showLogs(t *testing.T, w *standin.Testbed) {
+	for _, path := range w.LogPaths() {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Error(err)
@@ -49,7 +49,7 @@
 }
 
 // verdict fails the test for each rule that was broken.
-func verdict(t *testing.T, w *standin.World) map[string]int {
+func verdict(t *testing.T, w *standin.Testbed) map[string]int {
 	t.Helper()
 	faults, counts := w.Ledger.Result()
 	for _, f := range faults {
@@ -60,10 +60,10 @@
 }
 
 // steady are callers without bad habits, and switches that answer.
-func steady(rate float64) standin.Plan {
-	return standin.Plan{Proxies: 3, Numbers: 4, Deadline: 3 * time.Second, Seed: 1,
-		Holds:  standin.Holds{Least: 30 * time.Second, Most: 40 * time.Second},
-		Habits: standin.Habits{Rate: rate, Conns: 4, LeastWait: time.Second, MostWait: 1200 * time.Millisecond}}
+func steady(rate float64) standin.TestbedConfig {
+	return standin.TestbedConfig{Proxies: 3, Exchanges: 4, Deadline: 3 * time.Second, Seed: 1,
+		HoldTimes: standin.HoldTimes{Min: 30 * time.Second, Max: 40 * time.Second},
+		Clients:   standin.ClientConfig{Rate: rate, Conns: 4, MinWait: time.Second, MaxWait: 1200 * time.Millisecond}}
 }
 
 // endsToldBy is when the caller of a call has to know of its end where no release could
@@ -86,9 +86,9 @@
 					c.Stop()
 				}
 			}
-			w.Discovery.Down()
+			w.Discovery.TakeDown()
 			for _, n := range []int{2, 3} {
-				if err := w.Switch(n).Vanish(); err != nil {
+				if err := w.Switch(n).PowerOff(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -101,7 +101,7 @@
 			if counts := verdict(t, w); counts["told over"] < 10 {
 				t.Errorf("%d callers were told: too few to say anything", counts["told over"])
 			}
-			if n := w.Ledger.Untold(); n > 0 {
+			if n := w.Ledger.UnnotifiedEnds(); n > 0 {
 				t.Errorf("%d calls are over and their callers were not told", n)
 			}
 		})
@@ -116,15 +116,15 @@
 func TestDrainIsHeardAfterDiscoveryWasCutOff(t *testing.T) {
 	t.Parallel()
 	plan := steady(25)
-	plan.Holds = standin.Holds{Least: 100 * time.Millisecond, Most: 200 * time.Millisecond}
+	plan.HoldTimes = standin.HoldTimes{Min: 100 * time.Millisecond, Max: 200 * time.Millisecond}
 	w := newWorld(t, plan)
-	if err := w.Discovery.CutOff(); err != nil {
+	if err := w.Discovery.Partition(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(cutOff)
 	drained := w.Switch(3)
-	w.Discovery.Tell(standin.Listed{Switch: drained, Phase: "draining"})
-	if err := w.Discovery.Up(); err != nil {
+	w.Discovery.Publish(standin.Member{Switch: drained, Phase: "draining"})
+	if err := w.Discovery.Restore(); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range w.Clients {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,7 +23,7 @@
 const trialLength = 14 * time.Second
 
 // draw draws a trial's world from its seed.
-func draw(rng *rand.Rand) standin.Plan {
+func draw(rng *rand.Rand) standin.TestbedConfig {
 	seconds := func(least, most float64) time.Duration {
 		return time.Duration((least + rng.Float64()*(most-least)) * float64(time.Second))
 	}
@@ -33,19 +33,19 @@
 		}
 		return 0
 	}
-	plan := standin.Plan{
-		Proxies: 2 + rng.IntN(3), Numbers: 4 + rng.IntN(3), Seed: rng.Uint64(),
-		Deadline: seconds(1.2, 4),
-		Holds:    standin.Holds{Least: 200 * time.Millisecond, Most: seconds(1, 20)},
-		Temper: standin.Temper{Full: some(0.5, 0.2), Fault: some(0.5, 0.1), Mute: some(0.3, 0.05), Reset: some(0.3, 0.02),
-			Spoilt: some(0.3, 0.02), Twice: some(0.3, 0.1), Pieces: some(0.3, 0.2)},
-		Habits: standin.Habits{Rate: 5 + rng.Float64()*45, Conns: 1 + rng.IntN(8), GiveUp: some(0.4, 0.2), HangUp: some(0.5, 0.3),
-			Pieces: some(0.4, 0.5), Silent: rng.Float64() < 0.15},
+	plan := standin.TestbedConfig{
+		Proxies: 2 + rng.IntN(3), Exchanges: 4 + rng.IntN(3), Seed: rng.Uint64(),
+		Deadline:  seconds(1.2, 4),
+		HoldTimes: standin.HoldTimes{Min: 200 * time.Millisecond, Max: seconds(1, 20)},
+		FaultRates: standin.FaultRates{ProcessorFull: some(0.5, 0.2), Failure: some(0.5, 0.1), NoAnswer: some(0.3, 0.05), ConnReset: some(0.3, 0.02),
+			Malformed: some(0.3, 0.02), DuplicateAnswer: some(0.3, 0.1), SplitWrites: some(0.3, 0.2)},
+		Clients: standin.ClientConfig{Rate: 5 + rng.Float64()*45, Conns: 1 + rng.IntN(8), GiveUp: some(0.4, 0.2), HangUp: some(0.5, 0.3),
+			SplitWrites: some(0.4, 0.5), NoReleaseAcks: rng.Float64() < 0.15},
 	}
 	if rng.Float64() < 0.2 { // a crowd
-		plan.Habits.Rate, plan.Habits.Conns = 150, 40
+		plan.Clients.Rate, plan.Clients.Conns = 150, 40
 	}
-	plan.Habits.LeastWait, plan.Habits.MostWait = plan.Deadline/3, plan.Deadline
+	plan.Clients.MinWait, plan.Clients.MaxWait = plan.Deadline/3, plan.Deadline
 	return plan
 }
 
@@ -53,7 +53,7 @@
 type trial struct {
 	t     *testing.T
 	rng   *rand.Rand
-	world *standin.World
+	world *standin.Testbed
 	wg    sync.WaitGroup
 
 	mu   sync.Mutex // guards all below
@@ -102,27 +102,27 @@
 var switchFaults = []fault{
 	{"vanishes, is replaced", 4, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
-		tr.check(s.Vanish())
+		tr.check(s.PowerOff())
 		time.Sleep(time.Second + d[2]) // sooner, it can't be told from a fault of the network
 		tr.replace(n, d[1])
 	}},
 	{"is cut off", 4, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
-		tr.check(s.CutOff(""))
+		tr.check(s.Partition(""))
 		time.Sleep(d[1] * 2)
-		tr.check(s.Mend())
+		tr.check(s.Restore())
 	}},
 	{"is cut off from one proxy", 2, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
-		tr.check(s.CutOff(tr.world.Proxies[0].Name))
+		tr.check(s.Partition(tr.world.Proxies[0].Name))
 		time.Sleep(d[1] * 2)
-		tr.check(s.Mend())
+		tr.check(s.Restore())
 	}},
 	{"hangs", 4, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
 		s.Hang()
 		time.Sleep(d[2])
-		tr.check(s.Mend())
+		tr.check(s.Restore())
 	}},
 	{"is killed, starts again", 3, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
@@ -131,7 +131,7 @@
 		started := time.Now().UnixMilli()
 		tr.check(s.Start())
 		time.Sleep(d[1])
-		tr.world.Discovery.Tell(standin.Listed{Switch: s, Phase: "up", Started: started})
+		tr.world.Discovery.Publish(standin.Member{Switch: s, Phase: "up", StartedMs: started})
 	}},
 	{"is killed, is replaced", 3, func(tr *trial, n int, d [3]time.Duration) {
 		tr.world.Switch(n).Kill()
@@ -140,7 +140,7 @@
 	}},
 	{"drains, is replaced", 4, func(tr *trial, n int, d [3]time.Duration) {
 		s := tr.world.Switch(n)
-		tr.world.Discovery.Tell(standin.Listed{Switch: s, Phase: "draining"})
+		tr.world.Discovery.Publish(standin.Member{Switch: s, Phase: "draining"})
 		time.Sleep(d[0])
 		s.Drain()
 		time.Sleep(d[2] / 2)
@@ -157,43 +157,43 @@
 // replace puts another switch in the place of one that is gone, and tells discovery some
 // time later.
 func (tr *trial) replace(n int, later time.Duration) {
-	was, is, err := tr.world.Replace(n)
+	was, is, err := tr.world.ReplaceSwitch(n)
 	if err != nil {
 		tr.t.Error(err)
 		return
 	}
 	started := time.Now().UnixMilli()
 	time.Sleep(later)
-	tr.world.Discovery.Tell(standin.Listed{Switch: was, Phase: "removed"}, standin.Listed{Switch: is, Phase: "up", Started: started})
+	tr.world.Discovery.Publish(standin.Member{Switch: was, Phase: "removed"}, standin.Member{Switch: is, Phase: "up", StartedMs: started})
 }
 
 // discoveryFaults happen to discovery.
 var discoveryFaults = []fault{
 	{"is down", 2, func(tr *trial, _ int, d [3]time.Duration) {
-		tr.world.Discovery.Down()
+		tr.world.Discovery.TakeDown()
 		time.Sleep(d[2])
-		tr.check(tr.world.Discovery.Up())
+		tr.check(tr.world.Discovery.Restore())
 	}},
 	{"hangs", 2, func(tr *trial, _ int, d [3]time.Duration) {
 		tr.world.Discovery.Hang()
 		time.Sleep(d[2])
-		tr.check(tr.world.Discovery.Up())
+		tr.check(tr.world.Discovery.Restore())
 	}},
 	{"is cut off", 2, func(tr *trial, _ int, d [3]time.Duration) {
-		tr.check(tr.world.Discovery.CutOff())
+		tr.check(tr.world.Discovery.Partition())
 		time.Sleep(d[2])
-		tr.check(tr.world.Discovery.Up())
+		tr.check(tr.world.Discovery.Restore())
 	}},
 	{"is slow", 1, func(tr *trial, _ int, d [3]time.Duration) {
-		tr.world.Discovery.Slow(d[0] / 2)
+		tr.world.Discovery.SetReplyDelay(d[0] / 2)
 		time.Sleep(d[2])
-		tr.world.Discovery.Slow(0)
+		tr.world.Discovery.SetReplyDelay(0)
 	}},
 }
 
 // proxyFaults happen to one proxy.
 var proxyFaults = []fault{
-	{"is restarted", 5, func(tr *trial, i int, _ [3]time.Duration) { tr.check(tr.world.Restart(i)) }},
+	{"is restarted", 5, func(tr *trial, i int, _ [3]time.Duration) { tr.check(tr.world.RestartProxy(i)) }},
 	{"is killed", 1, func(tr *trial, i int, d [3]time.Duration) {
 		tr.world.Proxies[i].Kill()
 		time.Sleep(d[0])
@@ -255,7 +255,7 @@
 	}
 	until := time.Now().Add(trialLength)
 	draws := [3]*rand.Rand{rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2)), rand.New(rand.NewPCG(seed, 3))}
-	tr.wg.Go(func() { tr.happen("switch", switchFaults, plan.Numbers, 1500*time.Millisecond, draws[0], until) })
+	tr.wg.Go(func() { tr.happen("switch", switchFaults, plan.Exchanges, 1500*time.Millisecond, draws[0], until) })
 	tr.wg.Go(func() { tr.happen("discovery", discoveryFaults, 1, 5*time.Second, draws[1], until) })
 	tr.wg.Go(func() { tr.happen("proxy", proxyFaults, plan.Proxies, 2500*time.Millisecond, draws[2], until) })
 	tr.wg.Wait()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -13,19 +13,19 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-// Habits are what the callers of one proxy do.
-type Habits struct {
-	Rate      float64       // set-ups a second
-	Conns     int           // connections that they keep
-	LeastWait time.Duration // for an answer
-	MostWait  time.Duration
-	GiveUp    float64 // part of the set-ups that is given up early
-	HangUp    float64 // part of the calls that is hung up
-	Pieces    float64 // part of the set-ups that is written in pieces
-	Silent    bool    // they acknowledge no release
-	Dests     []int
-	Class     string
-	Tenant    string
+// ClientConfig are what the callers of one proxy do.
+type ClientConfig struct {
+	Rate          float64       // set-ups a second
+	Conns         int           // connections that they keep
+	MinWait       time.Duration // for an answer
+	MaxWait       time.Duration
+	GiveUp        float64 // part of the set-ups that is given up early
+	HangUp        float64 // part of the calls that is hung up
+	SplitWrites   float64 // part of the set-ups that is written in pieces
+	NoReleaseAcks bool    // they acknowledge no release
+	Dests         []int
+	Class         string
+	Tenant        string
 }
 
 // nextID numbers the set-ups of all clients.
@@ -36,7 +36,7 @@
 type Client struct {
 	Proxy  *Process
 	Ledger *Ledger
-	Habits Habits
+	Config ClientConfig
 
 	mu    sync.Mutex // guards all below
 	rng   *rand.Rand
@@ -69,8 +69,8 @@
 }
 
 // NewClient makes the callers of a proxy.
-func NewClient(p *Process, l *Ledger, h Habits, seed uint64) *Client {
-	return &Client{Proxy: p, Ledger: l, Habits: h, rng: rand.New(rand.NewPCG(seed, 77)), quit: make(chan struct{}), done: make(chan struct{})}
+func NewClient(p *Process, l *Ledger, h ClientConfig, seed uint64) *Client {
+	return &Client{Proxy: p, Ledger: l, Config: h, rng: rand.New(rand.NewPCG(seed, 77)), quit: make(chan struct{}), done: make(chan struct{})}
 }
 
 // Start begins to call.
@@ -79,7 +79,7 @@
 	c.wg.Go(func() {
 		at := time.Now()
 		for {
-			at = at.Add(time.Duration(c.exp() / c.Habits.Rate * float64(time.Second)))
+			at = at.Add(time.Duration(c.exp() / c.Config.Rate * float64(time.Second)))
 			pause := time.NewTimer(time.Until(at))
 			select {
 			case <-pause.C:
@@ -135,9 +135,9 @@
 // proxy was told to stop some time ago; after its end they come again at once.
 func (c *Client) keepConns() {
 	for {
-		term, kill := c.Proxy.Times()
+		term, kill := c.Proxy.SignalTimes()
 		c.mu.Lock()
-		want := len(c.conns) < c.Habits.Conns
+		want := len(c.conns) < c.Config.Conns
 		for _, cc := range c.conns {
 			if len(cc.open)+len(cc.standing) == 0 && time.Since(cc.used) > idleCloses {
 				cc.Close()
@@ -185,10 +185,10 @@
 		return
 	}
 	cc := c.conns[c.rng.IntN(len(c.conns))]
-	h := c.Habits
+	h := c.Config
 	dest := h.Dests[c.rng.IntN(len(h.Dests))]
-	wait := h.LeastWait + time.Duration(c.rng.Float64()*float64(h.MostWait-h.LeastWait))
-	giveUp, hangUp, pieces := c.rng.Float64() < h.GiveUp, c.rng.Float64() < h.HangUp, c.rng.Float64() < h.Pieces
+	wait := h.MinWait + time.Duration(c.rng.Float64()*float64(h.MaxWait-h.MinWait))
+	giveUp, hangUp, pieces := c.rng.Float64() < h.GiveUp, c.rng.Float64() < h.HangUp, c.rng.Float64() < h.SplitWrites
 	early := time.Duration(c.rng.Float64() * float64(wait))
 	c.mu.Unlock()
 
@@ -256,7 +256,7 @@
 	delete(cc.open, id)
 	c.mu.Unlock()
 	if open {
-		c.Ledger.Left(id)
+		c.Ledger.GivenUp(id)
 		cc.say(sig.WithCause(sig.Release, id, sig.CauseNormal))
 	}
 }
@@ -314,7 +314,7 @@
 				continue
 			}
 			c.over(m.Call)
-			if !c.Habits.Silent {
+			if !c.Config.NoReleaseAcks {
 				go cc.say(sig.Message{Type: sig.Heard, Call: m.Call}) // a slow writer reads on
 			}
 		}
@@ -340,13 +340,13 @@
 		delete(cc.standing, id)
 	}
 	c.mu.Unlock()
-	c.Ledger.ToldOver(id, c.Proxy.Incarnation())
+	c.Ledger.EndNotified(id, c.Proxy.Incarnation())
 }
 
 // ended says what becomes of the set-ups that were open on a connection that has ended.
 func (c *Client) ended(cc *clientConn) {
 	now := time.Now()
-	term, kill := c.Proxy.Times()
+	term, kill := c.Proxy.SignalTimes()
 	if c.Proxy.Incarnation() != cc.incarnation {
 		term, kill = time.Time{}, now // of an incarnation that was killed before this one began
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -22,17 +22,17 @@
 	Ledger *Ledger
 
 	mu      sync.Mutex // guards all below
-	members map[string]Listed
+	members map[string]Member
 	streams map[string]*stream
 	since   time.Time // when it could be reached last; zero: it can't be now
 	slow    time.Duration
 }
 
-// Listed is what discovery says of one switch.
-type Listed struct {
-	Switch  *Switch
-	Phase   string // up, draining or removed
-	Started int64  // Unix milliseconds of a late start, or 0
+// Member is what discovery says of one switch.
+type Member struct {
+	Switch    *Switch
+	Phase     string // up, draining or removed
+	StartedMs int64  // Unix milliseconds of a late start, or 0
 }
 
 // stream is what one incarnation of a proxy is told.
@@ -53,7 +53,7 @@
 
 // NewDiscovery returns a discovery without switches.
 func NewDiscovery(ledger *Ledger) *Discovery {
-	return &Discovery{Ledger: ledger, members: map[string]Listed{}, streams: map[string]*stream{}, since: time.Now()}
+	return &Discovery{Ledger: ledger, members: map[string]Member{}, streams: map[string]*stream{}, since: time.Now()}
 }
 
 // Listen opens the port of a proxy.
@@ -77,12 +77,12 @@
 	return s.port.Open()
 }
 
-// Known is the list as a proxy finds it in its configuration when it starts.
-func (d *Discovery) Known(proxy string) (known, addr string) {
+// InitialEvents is the list as a proxy finds it in its configuration when it starts.
+func (d *Discovery) InitialEvents(proxy string) (known, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.streams[proxy]
-	var all []Listed
+	var all []Member
 	for _, m := range d.members {
 		if m.Phase != "removed" {
 			all = append(all, m)
@@ -92,16 +92,16 @@
 	return `{"cursor":1,"cmds":[` + s.events[0].text + `]}`, s.port.Addr()
 }
 
-// Now is what a configuration read later holds: all events so far.
-func (d *Discovery) Now(proxy string) (known, addr string) {
+// AllEvents is what a configuration read later holds: all events so far.
+func (d *Discovery) AllEvents(proxy string) (known, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.streams[proxy]
 	return s.after(0), s.port.Addr()
 }
 
-// Tell tells of changes.
-func (d *Discovery) Tell(changes ...Listed) {
+// Publish tells of changes.
+func (d *Discovery) Publish(changes ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var ended []string
@@ -125,7 +125,7 @@
 	for _, e := range s.events {
 		for _, id := range e.switches {
 			if !e.delivered {
-				l.DrainTold(s.proxy, id, reachable.Add(toldAnyway))
+				l.DrainNotified(s.proxy, id, reachable.Add(toldAnyway))
 			}
 		}
 	}
@@ -147,11 +147,11 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(s.events), strings.Join(texts, ","))
 }
 
-func eventText(number int, complete bool, proxy string, ms []Listed) string {
+func eventText(number int, complete bool, proxy string, ms []Member) string {
 	var texts []string
 	for _, m := range ms {
 		texts = append(texts, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"yard","flavor":"std","cell":%d,"phase":%q,"size":1,"up_since_ms":%d}`,
-			m.Switch.ID, m.Switch.Addr(proxy), m.Switch.Number, m.Phase, m.Started))
+			m.Switch.ID, m.Switch.Addr(proxy), m.Switch.Exchange, m.Phase, m.StartedMs))
 	}
 	return fmt.Sprintf(`{"cursor":%d,"nodes":{"revision":%d,"complete":%t,"members":[%s]}}`, number, number, complete, strings.Join(texts, ","))
 }
@@ -183,7 +183,7 @@
 			for i := resume; i < len(s.events); i++ {
 				s.events[i].delivered = true
 				for _, id := range s.events[i].switches {
-					d.Ledger.DrainTold(proxy, id, time.Now().Add(slow))
+					d.Ledger.DrainNotified(proxy, id, time.Now().Add(slow))
 				}
 			}
 			d.mu.Unlock()
@@ -203,18 +203,18 @@
 	}
 }
 
-// Slow makes every reply take so much longer.
-func (d *Discovery) Slow(by time.Duration) {
+// SetReplyDelay makes every reply take so much longer.
+func (d *Discovery) SetReplyDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slow = by
 }
 
-// Down refuses connections and ends the open ones.
-func (d *Discovery) Down() {
+// TakeDown refuses connections and ends the open ones.
+func (d *Discovery) TakeDown() {
 	d.unreachable(func(p *Port) error {
-		p.Refuse()
-		p.Reset()
+		p.StopListening()
+		p.ResetConns()
 		return nil
 	})
 }
@@ -227,16 +227,16 @@
 	})
 }
 
-// CutOff keeps connections open and silent, and lets none come up.
-func (d *Discovery) CutOff() error { return d.unreachable((*Port).CutOff) }
+// Partition keeps connections open and silent, and lets none come up.
+func (d *Discovery) Partition() error { return d.unreachable((*Port).Partition) }
 
-// Up ends any of these.
-func (d *Discovery) Up() error {
+// Restore ends any of these.
+func (d *Discovery) Restore() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var failed error
 	for _, s := range d.streams {
-		if err := errors.Join(s.port.Open(), s.port.Mend()); err != nil {
+		if err := errors.Join(s.port.Open(), s.port.Restore()); err != nil {
 			failed = err
 		}
 		s.toldLater(d.Ledger, time.Now())
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -60,8 +60,8 @@
 // Age is how long the run has lasted, as faults have it.
 func (l *Ledger) Age() time.Duration { return time.Since(l.start) }
 
-// Fault notes that something went wrong.
-func (l *Ledger) Fault(format string, args ...any) {
+// RecordViolation notes that something went wrong.
+func (l *Ledger) RecordViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault(format, args...)
@@ -118,8 +118,8 @@
 	}
 }
 
-// Left notes that a caller gave its set-up up or closed its connection.
-func (l *Ledger) Left(id uint64) {
+// GivenUp notes that a caller gave its set-up up or closed its connection.
+func (l *Ledger) GivenUp(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.calls[id]; e != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Attempt notes that a set-up has reached a switch.
-func (l *Ledger) Attempt(id uint64, at string) {
+// AttemptStarted notes that a set-up has reached a switch.
+func (l *Ledger) AttemptStarted(id uint64, at string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[id]
@@ -173,9 +173,9 @@
 	}
 }
 
-// AttemptOver notes that an attempt has ended; with rest it timed out, was reset or
+// AttemptEnded notes that an attempt has ended; with rest it timed out, was reset or
 // cancelled.
-func (l *Ledger) AttemptOver(id uint64, at string, rest bool) {
+func (l *Ledger) AttemptEnded(id uint64, at string, rest bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[id]
@@ -188,8 +188,8 @@
 	}
 }
 
-// Over notes that a call that stood at a switch is over there.
-func (l *Ledger) Over(id uint64) {
+// CallEnded notes that a call that stood at a switch is over there.
+func (l *Ledger) CallEnded(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.calls[id]; e != nil && e.overAt.IsZero() {
@@ -198,8 +198,8 @@
 	}
 }
 
-// Released notes that the release of a call that is over was sent to its proxy.
-func (l *Ledger) Released(id uint64, at time.Time) {
+// ReleaseSent notes that the release of a call that is over was sent to its proxy.
+func (l *Ledger) ReleaseSent(id uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[id]
@@ -222,9 +222,9 @@
 	return e.tellBy
 }
 
-// ToldOver notes that a caller was told that its call is over, by the incarnation of its
+// EndNotified notes that a caller was told that its call is over, by the incarnation of its
 // proxy that runs.
-func (l *Ledger) ToldOver(id uint64, running int) {
+func (l *Ledger) EndNotified(id uint64, running int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[id]
@@ -260,9 +260,9 @@
 	}
 }
 
-// DrainTold notes that a proxy counts as told that a switch drains or is gone. The
+// DrainNotified notes that a proxy counts as told that a switch drains or is gone. The
 // earliest time counts.
-func (l *Ledger) DrainTold(proxy, sw string, at time.Time) {
+func (l *Ledger) DrainNotified(proxy, sw string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := [2]string{proxy, sw}
@@ -314,8 +314,8 @@
 	}
 }
 
-// Standing is how many calls stand by what their callers were told.
-func (l *Ledger) Standing() (n int) {
+// EstablishedCalls is how many calls stand by what their callers were told.
+func (l *Ledger) EstablishedCalls() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.calls {
@@ -326,9 +326,9 @@
 	return n
 }
 
-// Untold is how many calls are over and their callers, who know that they stood, were not
+// UnnotifiedEnds is how many calls are over and their callers, who know that they stood, were not
 // told.
-func (l *Ledger) Untold() (n int) {
+func (l *Ledger) UnnotifiedEnds() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.calls {
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -22,8 +22,8 @@
 	return &Links{to: map[uint64]string{}, cut: map[[2]uint64]bool{}, open: map[[2]uint64][]net.Conn{}}
 }
 
-// At says where a party listens now.
-func (l *Links) At(party uint64, addr string) {
+// SetAddr says where a party listens now.
+func (l *Links) SetAddr(party uint64, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.to[party] = addr
@@ -64,8 +64,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Cut cuts a link, or mends it.
-func (l *Links) Cut(from, to uint64, cut bool) {
+// SetCut cuts a link, or mends it.
+func (l *Links) SetCut(from, to uint64, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := [2]uint64{from, to}
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Switches opens the switches as one exchange's proxy sees them and returns their
+// OpenSwitches opens the switches as one exchange's proxy sees them and returns their
 // addresses by number.
-func (r *Mesh) Switches(x int) ([]string, error) {
+func (r *Mesh) OpenSwitches(x int) ([]string, error) {
 	var addrs []string
 	for to := range r.cfg.Exchanges {
 		ln, err := Serve(func(c net.Conn) {
@@ -93,8 +93,8 @@
 	return addrs, nil
 }
 
-// Callers connects the callers of one exchange to its proxy.
-func (r *Mesh) Callers(x int, proxy string) error {
+// ConnectCallers connects the callers of one exchange to its proxy.
+func (r *Mesh) ConnectCallers(x int, proxy string) error {
 	c, err := net.Dial("tcp", proxy)
 	if err != nil {
 		return err
@@ -125,8 +125,8 @@
 	return ln, nil
 }
 
-// Left is how many calls and circuits' legs are not over.
-func (r *Mesh) Left() (calls, legs int) {
+// Unfinished is how many calls and circuits' legs are not over.
+func (r *Mesh) Unfinished() (calls, legs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
@@ -430,8 +430,8 @@
 	}
 }
 
-// Play offers the day's calls in real time.
-func (r *Mesh) Play() {
+// Run offers the day's calls in real time.
+func (r *Mesh) Run() {
 	var wg sync.WaitGroup
 	for i, f := range r.cfg.Flows {
 		rng := rand.New(rand.NewPCG(r.cfg.Seed, 1000+uint64(i)))
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// CutOff makes the port silent and lets no new connection come up.
-func (p *Port) CutOff() error {
+// Partition makes the port silent and lets no new connection come up.
+func (p *Port) Partition() error {
 	p.Hang()
 	p.mu.Lock()
 	ln := p.ln
@@ -163,8 +163,8 @@
 	return errors.New("the backlog does not fill")
 }
 
-// Mend ends what Hang and CutOff began.
-func (p *Port) Mend() error {
+// Restore ends what Hang and CutOff began.
+func (p *Port) Restore() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var err error
@@ -209,8 +209,8 @@
 	return errors.Join(err, listen)
 }
 
-// Refuse stops to listen; open connections stay.
-func (p *Port) Refuse() {
+// StopListening stops to listen; open connections stay.
+func (p *Port) StopListening() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ln != nil {
@@ -220,8 +220,8 @@
 	p.dropFiller()
 }
 
-// Reset resets the open connections.
-func (p *Port) Reset() {
+// ResetConns resets the open connections.
+func (p *Port) ResetConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -230,10 +230,10 @@
 	}
 }
 
-// Abandon leaves the address to another machine, which knows none of the connections:
+// ReassignAddress leaves the address to another machine, which knows none of the connections:
 // what is sent on them from now on, or was sent in vain before, is answered by a reset.
-func (p *Port) Abandon() {
-	p.Refuse()
+func (p *Port) ReassignAddress() {
+	p.StopListening()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.abandoned = true
@@ -264,7 +264,7 @@
 
 // Close ends the port and its connections.
 func (p *Port) Close() {
-	p.Refuse()
+	p.StopListening()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -41,8 +41,8 @@
 // ConfigPath is where its configuration stands.
 func (p *Process) ConfigPath() string { return filepath.Join(p.Dir, p.Name+".json") }
 
-// Configure replaces the configuration file.
-func (p *Process) Configure(config string) error {
+// WriteConfig replaces the configuration file.
+func (p *Process) WriteConfig(config string) error {
 	next := p.ConfigPath() + ".next"
 	if err := os.WriteFile(next, []byte(config), 0o600); err != nil {
 		return err
@@ -157,8 +157,8 @@
 	return p.incarnation
 }
 
-// Running is the number of the incarnation that runs and is ready, or 0.
-func (p *Process) Running() int {
+// ReadyIncarnation is the number of the incarnation that runs and is ready, or 0.
+func (p *Process) ReadyIncarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.ready || !p.killedAt.IsZero() {
@@ -172,16 +172,16 @@
 	}
 }
 
-// Times returns when the incarnation that runs, or ran last, got SIGTERM and SIGKILL;
+// SignalTimes returns when the incarnation that runs, or ran last, got SIGTERM and SIGKILL;
 // zero: it did not.
-func (p *Process) Times() (term, kill time.Time) {
+func (p *Process) SignalTimes() (term, kill time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.termAt, p.killedAt
 }
 
-// Crashed is why the program ended by itself, or nil.
-func (p *Process) Crashed() error {
+// CrashError is why the program ended by itself, or nil.
+func (p *Process) CrashError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.crashed
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -11,27 +11,27 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-// Temper is how often a switch does what, in parts of one; what is left is an answer.
-type Temper struct {
-	Full   float64 // refuses
-	Fault  float64 // fails
-	Mute   float64 // never answers
-	Reset  float64 // resets the connection under the set-up
-	Spoilt float64 // answers with what can't be read
-	Twice  float64 // answers, and says so again
-	Pieces float64 // writes what it says byte by byte, beside all else
+// FaultRates is how often a switch does what, in parts of one; what is left is an answer.
+type FaultRates struct {
+	ProcessorFull   float64 // refuses
+	Failure         float64 // fails
+	NoAnswer        float64 // never answers
+	ConnReset       float64 // resets the connection under the set-up
+	Malformed       float64 // answers with what can't be read
+	DuplicateAnswer float64 // answers, and says so again
+	SplitWrites     float64 // writes what it says byte by byte, beside all else
 }
 
-// Holds is how long the calls of a switch stand.
-type Holds struct{ Least, Most time.Duration }
+// HoldTimes is how long the calls of a switch stand.
+type HoldTimes struct{ Min, Max time.Duration }
 
 // Switch plays one switch towards several proxies, with a Port for each.
 type Switch struct {
-	ID     string
-	Number int
-	Ledger *Ledger
-	Temper Temper
-	Holds  Holds
+	ID         string
+	Exchange   int
+	Ledger     *Ledger
+	FaultRates FaultRates
+	HoldTimes  HoldTimes
 
 	mu       sync.Mutex // guards all below
 	rng      *rand.Rand
@@ -65,8 +65,8 @@
 const noticeClose = 20 * time.Millisecond
 
 // NewSwitch makes a switch that does not listen yet.
-func NewSwitch(id string, number int, ledger *Ledger, temper Temper, holds Holds, seed uint64) *Switch {
-	return &Switch{ID: id, Number: number, Ledger: ledger, Temper: temper, Holds: holds,
+func NewSwitch(id string, number int, ledger *Ledger, temper FaultRates, holds HoldTimes, seed uint64) *Switch {
+	return &Switch{ID: id, Exchange: number, Ledger: ledger, FaultRates: temper, HoldTimes: holds,
 		rng: rand.New(rand.NewPCG(seed, uint64(number))), ports: map[string]*switchPort{}}
 }
 
@@ -99,15 +99,15 @@
 	}
 }
 
-// Vanish takes the machine away: its calls are over and nobody says so, its connections
+// PowerOff takes the machine away: its calls are over and nobody says so, its connections
 // are silent, new ones don't come up.
-func (s *Switch) Vanish() error {
+func (s *Switch) PowerOff() error {
 	var failed error
 	s.mu.Lock()
 	s.vanished = true
 	s.mu.Unlock()
 	s.each(func(p *switchPort) {
-		if err := p.CutOff(); err != nil {
+		if err := p.Partition(); err != nil {
 			failed = err
 		}
 		p.endAll(false)
@@ -115,12 +115,12 @@
 	return failed
 }
 
-// CutOff cuts the switch off from one proxy, or with "" from all; Mend ends that.
-func (s *Switch) CutOff(proxy string) error {
+// Partition cuts the switch off from one proxy, or with "" from all; Mend ends that.
+func (s *Switch) Partition(proxy string) error {
 	var failed error
 	s.each(func(p *switchPort) {
 		if proxy == "" || p.proxy == proxy {
-			if err := p.CutOff(); err != nil {
+			if err := p.Partition(); err != nil {
 				failed = err
 			}
 		}
@@ -128,11 +128,11 @@
 	return failed
 }
 
-// Mend ends a cut or a hang.
-func (s *Switch) Mend() error {
+// Restore ends a cut or a hang.
+func (s *Switch) Restore() error {
 	var failed error
 	s.each(func(p *switchPort) {
-		if err := p.Mend(); err != nil {
+		if err := p.Restore(); err != nil {
 			failed = err
 		}
 	})
@@ -146,8 +146,8 @@
 func (s *Switch) Kill() {
 	s.each(func(p *switchPort) {
 		p.endAll(false)
-		p.Refuse()
-		p.Reset()
+		p.StopListening()
+		p.ResetConns()
 	})
 }
 
@@ -167,7 +167,7 @@
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	s.each(func(p *switchPort) { p.Refuse() })
+	s.each(func(p *switchPort) { p.StopListening() })
 }
 
 // ResetConns resets the open connections; the process goes on.
@@ -176,23 +176,23 @@
 		p.mu.Lock()
 		conns := slices.Clone(p.conns)
 		p.mu.Unlock()
-		p.Reset()
+		p.ResetConns()
 		for _, c := range conns {
 			p.closed(c) // its reader may be about to write
 		}
 	})
 }
 
-// Abandon leaves the addresses of a vanished machine to another.
-func (s *Switch) Abandon() {
-	s.each(func(p *switchPort) { p.Abandon() })
+// ReassignAddresses leaves the addresses of a vanished machine to another.
+func (s *Switch) ReassignAddresses() {
+	s.each(func(p *switchPort) { p.ReassignAddress() })
 }
 
 // Close ends the switch.
 func (s *Switch) Close() { s.each(func(p *switchPort) { p.Close() }) }
 
-// Standing is how many calls stand there.
-func (s *Switch) Standing() (n int) {
+// EstablishedCalls is how many calls stand there.
+func (s *Switch) EstablishedCalls() (n int) {
 	s.each(func(p *switchPort) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -212,7 +212,7 @@
 }
 
 func (s *Switch) hold() time.Duration {
-	return s.Holds.Least + time.Duration(s.chance()*float64(s.Holds.Most-s.Holds.Least))
+	return s.HoldTimes.Min + time.Duration(s.chance()*float64(s.HoldTimes.Max-s.HoldTimes.Min))
 }
 
 // endAll ends every call at once; with tell, each with a release.
@@ -222,9 +222,9 @@
 	p.calls = map[uint64]*switchCall{}
 	p.mu.Unlock()
 	for id, c := range calls {
-		p.sw.Ledger.AttemptOver(id, p.sw.ID, false)
+		p.sw.Ledger.AttemptEnded(id, p.sw.ID, false)
 		if c.stands {
-			p.sw.Ledger.Over(id)
+			p.sw.Ledger.CallEnded(id)
 			if tell {
 				p.release(id, c.conn)
 			}
@@ -283,7 +283,7 @@
 	for id, k := range p.calls {
 		if k.conn == c && !k.stands {
 			delete(p.calls, id)
-			p.sw.Ledger.AttemptOver(id, p.sw.ID, rest)
+			p.sw.Ledger.AttemptEnded(id, p.sw.ID, rest)
 		}
 	}
 }
@@ -298,9 +298,9 @@
 		s.Ledger.Count("set-ups that a release on a newer connection overtook")
 		return
 	}
-	s.Ledger.Attempt(m.Call, s.ID)
+	s.Ledger.AttemptStarted(m.Call, s.ID)
 	s.mu.Lock()
-	draining, temper := s.draining, s.Temper
+	draining, temper := s.draining, s.FaultRates
 	s.mu.Unlock()
 	k := &switchCall{conn: c}
 	p.mu.Lock()
@@ -312,20 +312,20 @@
 		return x < 0
 	}
 	switch {
-	case draining || is(temper.Full):
+	case draining || is(temper.ProcessorFull):
 		p.refuse(c, m.Call, sig.CauseNoCircuit, "queue_long")
-	case is(temper.Fault):
+	case is(temper.Failure):
 		p.refuse(c, m.Call, sig.CauseResource, "")
-	case is(temper.Mute):
-	case is(temper.Reset):
+	case is(temper.NoAnswer):
+	case is(temper.ConnReset):
 		p.forget(m.Call, true)
 		_ = c.SetLinger(0)
 		c.TCPConn.Close()
-	case is(temper.Spoilt):
+	case is(temper.Malformed):
 		p.forget(m.Call, true)
 		_, _ = c.Write([]byte("\x00\x05\x09spoilt, and more of it"))
 	default:
-		twice := is(temper.Twice)
+		twice := is(temper.DuplicateAnswer)
 		time.AfterFunc(time.Duration(1+9*s.chance())*time.Millisecond, func() { p.answer(k, m, twice) })
 	}
 }
@@ -338,7 +338,7 @@
 		return false
 	}
 	delete(p.calls, id)
-	p.sw.Ledger.AttemptOver(id, p.sw.ID, rest)
+	p.sw.Ledger.AttemptEnded(id, p.sw.ID, rest)
 	return true
 }
 
@@ -374,8 +374,8 @@
 		}
 		p.mu.Unlock()
 		if stands {
-			p.sw.Ledger.AttemptOver(m.Call, p.sw.ID, false)
-			p.sw.Ledger.Over(m.Call)
+			p.sw.Ledger.AttemptEnded(m.Call, p.sw.ID, false)
+			p.sw.Ledger.CallEnded(m.Call)
 			p.release(m.Call, k.conn)
 		}
 	})
@@ -414,7 +414,7 @@
 	// The first write to a connection that the other side has closed fails only later.
 	time.AfterFunc(noticeClose, func() {
 		if sent && !c.ended.Load() {
-			p.sw.Ledger.Released(id, at)
+			p.sw.Ledger.ReleaseSent(id, at)
 			return
 		}
 		if on := p.open(nil); on != nil {
@@ -435,9 +435,9 @@
 	delete(p.calls, id)
 	p.mu.Unlock()
 	if k != nil {
-		p.sw.Ledger.AttemptOver(id, p.sw.ID, !k.stands && !p.wasSilent())
+		p.sw.Ledger.AttemptEnded(id, p.sw.ID, !k.stands && !p.wasSilent())
 		if k.stands {
-			p.sw.Ledger.Over(id)
+			p.sw.Ledger.CallEnded(id)
 		}
 	}
 }
@@ -451,7 +451,7 @@
 	p.wait()
 	c.message.Lock()
 	defer c.message.Unlock()
-	if p.sw.chance() >= p.sw.Temper.Pieces {
+	if p.sw.chance() >= p.sw.FaultRates.SplitWrites {
 		_, err = c.Write(b)
 		return err == nil
 	}
--- a/internal/standin/world.go
+++ b/internal/standin/testbed.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Plan is what a World is made of.
-type Plan struct {
-	Binary   string // the proxy's program
-	Dir      string // for configurations and logs
-	Proxies  int
-	Numbers  int           // exchanges: each has a switch, the first ones a proxy
-	Deadline time.Duration // longest deadline of a class
-	Temper   Temper
-	Holds    Holds
-	Habits   Habits // Dests, Class and Tenant are filled in
-	Seed     uint64
+// TestbedConfig is what a World is made of.
+type TestbedConfig struct {
+	Binary     string // the proxy's program
+	Dir        string // for configurations and logs
+	Proxies    int
+	Exchanges  int           // exchanges: each has a switch, the first ones a proxy
+	Deadline   time.Duration // longest deadline of a class
+	FaultRates FaultRates
+	HoldTimes  HoldTimes
+	Clients    ClientConfig // Dests, Class and Tenant are filled in
+	Seed       uint64
 }
 
-// World is a handful of proxies as processes, with the switches, the discovery and the
+// Testbed is a handful of proxies as processes, with the switches, the discovery and the
 // callers around them, each at loopback addresses of its own.
-type World struct {
-	Plan      Plan
+type Testbed struct {
+	Config    TestbedConfig
 	Ledger    *Ledger
 	Proxies   []*Process
 	Clients   []*Client
@@ -62,7 +62,7 @@
 }()
 
 // address is a loopback address of this world's own: kind and place say whose.
-func (w *World) address(kind, place int) string {
+func (w *Testbed) address(kind, place int) string {
 	return fmt.Sprintf("127.%d.%d.%d:5070", w.network, kind, place+1)
 }
 
@@ -73,21 +73,21 @@
 	switchAddresses    = 100
 )
 
-// NewWorld starts everything but the callers.
-func NewWorld(plan Plan) (*World, error) {
-	w := &World{Plan: plan, Ledger: NewLedger(), rng: rand.New(rand.NewPCG(plan.Seed, 5)), quit: make(chan struct{}),
+// NewTestbed starts everything but the callers.
+func NewTestbed(plan TestbedConfig) (*Testbed, error) {
+	w := &Testbed{Config: plan, Ledger: NewLedger(), rng: rand.New(rand.NewPCG(plan.Seed, 5)), quit: make(chan struct{}),
 		network: <-networks}
 	w.Discovery = NewDiscovery(w.Ledger)
 	for i := range plan.Proxies {
 		w.Proxies = append(w.Proxies, &Process{Name: fmt.Sprintf("n%d", i), Listen: w.address(proxyAddresses, i), Binary: plan.Binary, Dir: plan.Dir})
 	}
-	for n := range plan.Numbers {
+	for n := range plan.Exchanges {
 		s, err := w.NewSwitch(n)
 		if err != nil {
 			return w, err
 		}
 		w.switches = append(w.switches, s)
-		w.Discovery.members[s.ID] = Listed{Switch: s, Phase: "up"}
+		w.Discovery.members[s.ID] = Member{Switch: s, Phase: "up"}
 	}
 	for i, p := range w.Proxies {
 		if err := w.Discovery.Listen(p.Name, w.address(discoveryAddresses, i)); err != nil {
@@ -96,9 +96,9 @@
 		if err := w.StartProxy(i); err != nil {
 			return w, err
 		}
-		h := plan.Habits
+		h := plan.Clients
 		h.Class, h.Tenant = className, tenantName
-		for n := range plan.Numbers {
+		for n := range plan.Exchanges {
 			if n != i {
 				h.Dests = append(h.Dests, n)
 			}
@@ -110,7 +110,7 @@
 }
 
 // check holds the times of the rules.
-func (w *World) check() {
+func (w *Testbed) check() {
 	look := time.NewTicker(checkEvery)
 	defer look.Stop()
 	for {
@@ -123,22 +123,22 @@
 	}
 }
 
-func (w *World) incarnation(proxy string) int {
+func (w *Testbed) incarnation(proxy string) int {
 	for _, p := range w.Proxies {
 		if p.Name == proxy {
-			return p.Running()
+			return p.ReadyIncarnation()
 		}
 	}
 	return 0
 }
 
 // NewSwitch makes a switch with a new id for a number, at the addresses of that number.
-func (w *World) NewSwitch(number int) (*Switch, error) {
+func (w *Testbed) NewSwitch(number int) (*Switch, error) {
 	w.mu.Lock()
 	id := fmt.Sprintf("s-%08x", w.rng.Uint32())
 	seed := w.rng.Uint64()
 	w.mu.Unlock()
-	s := NewSwitch(id, number, w.Ledger, w.Plan.Temper, w.Plan.Holds, seed)
+	s := NewSwitch(id, number, w.Ledger, w.Config.FaultRates, w.Config.HoldTimes, seed)
 	for i, p := range w.Proxies {
 		if err := s.Listen(p.Name, w.address(switchAddresses+number, i)); err != nil {
 			return nil, err
@@ -148,17 +148,17 @@
 }
 
 // Switch is the one in service for a number.
-func (w *World) Switch(number int) *Switch {
+func (w *Testbed) Switch(number int) *Switch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.switches[number]
 }
 
-// Replace puts a new switch in the place of one that has vanished or was killed, at the
+// ReplaceSwitch puts a new switch in the place of one that has vanished or was killed, at the
 // same addresses. Discovery is not told.
-func (w *World) Replace(number int) (was, is *Switch, err error) {
+func (w *Testbed) ReplaceSwitch(number int) (was, is *Switch, err error) {
 	was = w.Switch(number)
-	was.Abandon()
+	was.ReassignAddresses()
 	if is, err = w.NewSwitch(number); err != nil {
 		return was, nil, err
 	}
@@ -170,16 +170,16 @@
 }
 
 // settings are the settings of a proxy.
-func (w *World) settings(place int) string {
-	ms := w.Plan.Deadline.Milliseconds()
+func (w *Testbed) settings(place int) string {
+	ms := w.Config.Deadline.Milliseconds()
 	return fmt.Sprintf(`{"fleetSize":%d,"classes":[{"name":%q,"goalTimeMs":%d,"deadlineMs":%d,"worth":1}],
 "extra":{"here":%d,"topology":"meshed","releaseMs":500,"resendMs":0,"widths":[1],"classHoldMs":[%d]},
 "limits":{"mostTries":5,"cancel":true,"dialTimeoutMs":500,"openCap":20000},
 "rules":{"answerSlackMs":20,"coldShare":0.29,"rampTimeMs":1000,"fallMultiple":4,"overloadForMs":2000,"drainGraceMs":500},
-"realms":[{"name":%q}]}`, w.Plan.Numbers, className, ms/2, ms, place, (w.Plan.Holds.Least+w.Plan.Holds.Most).Milliseconds()/2, tenantName)
+"realms":[{"name":%q}]}`, w.Config.Exchanges, className, ms/2, ms, place, (w.Config.HoldTimes.Min+w.Config.HoldTimes.Max).Milliseconds()/2, tenantName)
 }
 
-func (w *World) config(place int, known, channel string) string {
+func (w *Testbed) config(place int, known, channel string) string {
 	p := w.Proxies[place]
 	w.mu.Lock()
 	seed := w.rng.Uint64()
@@ -189,18 +189,18 @@
 }
 
 // StartProxy starts a proxy, with the list as discovery has it.
-func (w *World) StartProxy(place int) error {
+func (w *Testbed) StartProxy(place int) error {
 	p := w.Proxies[place]
 	w.Ledger.Restarted(p.Name)
-	known, channel := w.Discovery.Known(p.Name)
-	if err := p.Configure(w.config(place, known, channel)); err != nil {
+	known, channel := w.Discovery.InitialEvents(p.Name)
+	if err := p.WriteConfig(w.config(place, known, channel)); err != nil {
 		return err
 	}
 	return p.Start()
 }
 
 // MoveDiscovery moves a proxy's discovery to another address and tells the proxy.
-func (w *World) MoveDiscovery(place int) error {
+func (w *Testbed) MoveDiscovery(place int) error {
 	p := w.Proxies[place]
 	w.mu.Lock()
 	w.moves++
@@ -209,21 +209,21 @@
 	if err := w.Discovery.Listen(p.Name, w.address(kind, place)); err != nil {
 		return err
 	}
-	known, channel := w.Discovery.Now(p.Name)
-	if err := p.Configure(w.config(place, known, channel)); err != nil {
+	known, channel := w.Discovery.AllEvents(p.Name)
+	if err := p.WriteConfig(w.config(place, known, channel)); err != nil {
 		return err
 	}
 	return p.Signal(syscall.SIGHUP)
 }
 
 // earliestKill is how soon after SIGTERM the platform may send SIGKILL.
-func (w *World) earliestKill() time.Duration {
-	return min(w.Plan.Deadline, 3*time.Second) + 700*time.Millisecond
+func (w *Testbed) earliestKill() time.Duration {
+	return min(w.Config.Deadline, 3*time.Second) + 700*time.Millisecond
 }
 
-// Restart stops a proxy as the platform does, SIGKILL at the earliest time, and starts
+// RestartProxy stops a proxy as the platform does, SIGKILL at the earliest time, and starts
 // it again.
-func (w *World) Restart(place int) error {
+func (w *Testbed) RestartProxy(place int) error {
 	p := w.Proxies[place]
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -240,10 +240,10 @@
 }
 
 // Close ends everything and returns what went wrong with the processes.
-func (w *World) Close() error {
+func (w *Testbed) Close() error {
 	var failed error
 	for _, p := range w.Proxies {
-		failed = errors.Join(failed, p.Crashed())
+		failed = errors.Join(failed, p.CrashError())
 		p.Kill()
 	}
 	close(w.quit)
@@ -261,8 +261,8 @@
 	return failed
 }
 
-// Logs are the paths of the proxies' logs.
-func (w *World) Logs() (paths []string) {
+// LogPaths are the paths of the proxies' logs.
+func (w *Testbed) LogPaths() (paths []string) {
 	for _, p := range w.Proxies {
 		paths = append(paths, filepath.Clean(p.LogPath()))
 	}
