--- a/cmd/violetspan/inventory.go
+++ b/cmd/violetspan/inventory.go
@@ -18,7 +18,7 @@
 
 func (c *inventoryCheckCmd) Run() error {
 	inv, err := inventory.Load(c.Files...)
-	var all inventory.Faults
+	var all inventory.Errors
 	if errors.As(err, &all) {
 		for _, f := range all {
 			fmt.Fprintln(os.Stderr, f)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -33,9 +33,9 @@
 
 // Status is how the proxy is.
 type Status struct {
-	Phase      string `json:"phase"`
-	Unanswered int    `json:"calls_unanswered"`
-	Standing   int    `json:"calls_standing"`
+	Phase       string `json:"phase"`
+	Unanswered  int    `json:"calls_unanswered"`
+	Established int    `json:"calls_standing"`
 }
 
 var json = jsoniter.Config{EscapeHTML: true, DisallowUnknownFields: true, ValidateJsonRawMessage: true}.Froze()
@@ -114,7 +114,7 @@
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if !ok || subtle.ConstantTimeCompare([]byte(tenant.Hash(token)), []byte(s.TokenHash)) != 1 {
+		if !ok || subtle.ConstantTimeCompare([]byte(tenant.HashToken(token)), []byte(s.TokenHash)) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			s.reply(w, http.StatusUnauthorized, refusal{0, "unauthorized", "a valid bearer token is wanted"}.body())
 			return
@@ -210,9 +210,9 @@
 		return 0, nil, err
 	}
 	token := tenant.NewToken()
-	spec := tenant.Spec{ID: l.ID, TokenSHA256: tenant.Hash(token)}
+	spec := tenant.Spec{ID: l.ID, TokenSHA256: tenant.HashToken(token)}
 	l.apply(&spec)
-	if err := s.Tenants.Create(spec, tenant.FromAPI); err != nil {
+	if err := s.Tenants.Create(spec, tenant.OriginAPI); err != nil {
 		return 0, nil, err
 	}
 	v, err := s.Tenants.Get(spec.ID)
@@ -234,7 +234,7 @@
 // renew gives a tenant a new token. Its open connections go on.
 func (s *Server) renew(r *http.Request) (int, any, error) {
 	token := tenant.NewToken()
-	v, err := s.Tenants.Update(r.PathValue("id"), func(t *tenant.Spec) { t.TokenSHA256 = tenant.Hash(token) })
+	v, err := s.Tenants.Update(r.PathValue("id"), func(t *tenant.Spec) { t.TokenSHA256 = tenant.HashToken(token) })
 	return http.StatusOK, withToken{v, token}, err
 }
 
--- a/internal/callapi/front.go
+++ b/internal/callapi/front.go
@@ -25,19 +25,19 @@
 
 // Class is what the front needs of a class of call.
 type Class struct {
-	Place, Width int
+	Index, Width int
 }
 
-// Front serves the API to tenants' clients. Fill it before its first use.
-type Front struct {
-	Calls   Calls
-	Tenants *tenant.Registry
-	Classes map[string]Class
-	Log     *slog.Logger
-	Keep    time.Duration // how long an answer is kept for a client that comes back
-	MaxKept int           // calls held at once, those that are over included
-	MaxSize int           // bytes of their descriptions
-	Dests   int           // destinations are numbered below this
+// Server serves the API to tenants' clients. Fill it before its first use.
+type Server struct {
+	Calls           Calls
+	Tenants         *tenant.Registry
+	Classes         map[string]Class
+	Log             *slog.Logger
+	AnswerRetention time.Duration // how long an answer is kept for a client that comes back
+	MaxStoredCalls  int           // calls held at once, those that are over included
+	MaxStoredBytes  int           // bytes of their descriptions
+	Destinations    int           // destinations are numbered below this
 
 	mu     sync.Mutex
 	shares map[string]*share // by tenant
@@ -83,7 +83,7 @@
 // call is one call of a tenant. It outlives its sockets, and its end by a
 // while, so that a client that comes back hears the same answer.
 type call struct {
-	front *Front
+	front *Server
 	key   key
 	core  uint64
 	content
@@ -112,7 +112,7 @@
 
 // socket is one client's connection.
 type socket struct {
-	front  *Front
+	front  *Server
 	tenant string
 	conn   *websocket.Conn
 	out    chan message
@@ -121,7 +121,7 @@
 }
 
 // ServeHTTP takes one client's connection and serves it until it ends.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	id, known := "", false
 	if ok {
@@ -255,7 +255,7 @@
 
 // join adds a socket and tells it of the ends that none has heard of; false if
 // the front is closed.
-func (f *Front) join(s *socket) bool {
+func (f *Server) join(s *socket) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -274,7 +274,7 @@
 }
 
 // share returns what is held for a tenant; tidy drops it once that is nothing.
-func (f *Front) share(tenant string) *share {
+func (f *Server) share(tenant string) *share {
 	if f.shares == nil {
 		f.shares = map[string]*share{}
 	}
@@ -284,7 +284,7 @@
 	return f.shares[tenant]
 }
 
-func (f *Front) tidy(tenant string) {
+func (f *Server) tidy(tenant string) {
 	if sh := f.shares[tenant]; sh != nil && len(sh.calls) == 0 && len(sh.socks) == 0 {
 		delete(f.shares, tenant)
 	}
@@ -292,7 +292,7 @@
 
 // leave removes a socket. A call that nobody waits for any more is given up,
 // and that is its one answer.
-func (f *Front) leave(s *socket) {
+func (f *Server) leave(s *socket) {
 	var gone []uint64
 	f.mu.Lock()
 	sh := f.share(s.tenant)
@@ -315,7 +315,7 @@
 }
 
 // Disconnect closes a tenant's connections.
-func (f *Front) Disconnect(tenant string) {
+func (f *Server) Disconnect(tenant string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sh := f.shares[tenant]; sh != nil {
@@ -328,7 +328,7 @@
 // Close closes every connection once what is queued on it is written, and
 // waits for that, but not long. What stands is ended: after an exit nobody could
 // tell its client of its end.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
 	f.closed = true
 	var ended []uint64
@@ -362,7 +362,7 @@
 
 // setUp takes a set-up. One that is known joins the first: there is one call
 // and one answer, however often it is asked for.
-func (f *Front) setUp(s *socket, m message, at time.Time) error {
+func (f *Server) setUp(s *socket, m message, at time.Time) error {
 	c, wait, err := f.check(m)
 	if err != nil {
 		return err
@@ -392,7 +392,7 @@
 	}
 	sh.calls[m.Call] = k
 	k.count(1, len(c.description)+maxDescription) // the answer's is not known yet
-	if again, err := f.Tenants.Begin(s.tenant); err != nil {
+	if again, err := f.Tenants.BeginCall(s.tenant); err != nil {
 		reason := reasonQuota
 		if !errors.Is(err, tenant.ErrQuota) {
 			reason = reasonDisabled
@@ -401,7 +401,7 @@
 		return nil
 	}
 	k.begun = true
-	err = f.Calls.Offer(&core.SetUp{ID: k.core, Class: f.Classes[c.class].Place, ClassName: c.class, Tenant: s.tenant,
+	err = f.Calls.Offer(&core.SetUp{ID: k.core, Class: f.Classes[c.class].Index, ClassName: c.class, Tenant: s.tenant,
 		Number: c.number, Description: []byte(c.description), Dest: c.dest, Width: c.width, Deadline: at.Add(wait)}, k)
 	if err != nil {
 		k.finish(k.refusal(reasonBusy, retryDefault))
@@ -411,9 +411,9 @@
 
 // hasRoom says whether a tenant may have another call kept. Each has a share, so
 // that none takes the room of all.
-func (f *Front) hasRoom(sh *share) bool {
-	return f.kept.calls < f.MaxKept && f.kept.bytes < f.MaxSize &&
-		sh.used.calls < max(1, f.MaxKept/keptShare) && sh.used.bytes < f.MaxSize/keptShare
+func (f *Server) hasRoom(sh *share) bool {
+	return f.kept.calls < f.MaxStoredCalls && f.kept.bytes < f.MaxStoredBytes &&
+		sh.used.calls < max(1, f.MaxStoredCalls/keptShare) && sh.used.bytes < f.MaxStoredBytes/keptShare
 }
 
 // count adds to what is kept, or takes from it.
@@ -424,7 +424,7 @@
 }
 
 // check reads what a set-up asks for; an error names the field.
-func (f *Front) check(m message) (c content, wait time.Duration, err error) {
+func (f *Server) check(m message) (c content, wait time.Duration, err error) {
 	class, known := f.Classes[m.Class]
 	b, err := m.described()
 	wait = time.Duration(m.WaitMs * float64(time.Millisecond))
@@ -436,7 +436,7 @@
 		why = fmt.Sprintf("class: %q is not known", clip(m.Class))
 	case !core.IsValidNumber(m.Number):
 		why = fmt.Sprintf("number: 1 to %d decimal or hexadecimal digits are wanted", core.MaxNumberDigits)
-	case m.Dest == nil || *m.Dest < 0 || *m.Dest >= f.Dests:
+	case m.Dest == nil || *m.Dest < 0 || *m.Dest >= f.Destinations:
 		why = "dest: a number of an exchange is wanted"
 	case m.Width < 0 || m.Width > maxWidth:
 		why = fmt.Sprintf("width: a number from 1 to %d is wanted", maxWidth)
@@ -456,7 +456,7 @@
 
 // release takes a client's release: it gives up a call that is not answered,
 // and hangs up one that stands.
-func (f *Front) release(s *socket, m message) error {
+func (f *Server) release(s *socket, m message) error {
 	f.mu.Lock()
 	k := f.share(s.tenant).calls[m.Call]
 	if k == nil {
@@ -523,9 +523,9 @@
 // forgetLater counts the call out, and forgets it when it was kept long enough.
 func (k *call) forgetLater() {
 	if k.begun {
-		k.front.Tenants.End(k.key.tenant)
+		k.front.Tenants.EndCall(k.key.tenant)
 	}
-	time.AfterFunc(k.front.Keep, func() {
+	time.AfterFunc(k.front.AnswerRetention, func() {
 		k.front.mu.Lock()
 		defer k.front.mu.Unlock()
 		k.count(-1, -k.bytes)
--- a/internal/callapi/front_test.go
+++ b/internal/callapi/front_test.go
@@ -30,12 +30,12 @@
 
 // newFront serves a front with the tenants "acme" and "other", whose tokens
 // are their names and "-token".
-func newFront(t *testing.T, maxKept int) (f *Front, o offers, dial func(tenant string) *websocket.Conn) {
+func newFront(t *testing.T, maxKept int) (f *Server, o offers, dial func(tenant string) *websocket.Conn) {
 	o = offers{make(chan core.Caller, 1000), new(atomic.Int32)}
-	f = &Front{Calls: o, Tenants: tenant.New(time.Now), Classes: map[string]Class{"space-check": {Width: 1}},
-		Log: slog.New(slog.DiscardHandler), Keep: time.Minute, MaxKept: maxKept, MaxSize: 32 << 20, Dests: 4}
+	f = &Server{Calls: o, Tenants: tenant.New(time.Now), Classes: map[string]Class{"space-check": {Width: 1}},
+		Log: slog.New(slog.DiscardHandler), AnswerRetention: time.Minute, MaxStoredCalls: maxKept, MaxStoredBytes: 32 << 20, Destinations: 4}
 	for _, id := range []string{"acme", "other"} {
-		if err := f.Tenants.Create(tenant.Spec{ID: id, TokenSHA256: tenant.Hash(id + "-token")}, "test"); err != nil {
+		if err := f.Tenants.Create(tenant.Spec{ID: id, TokenSHA256: tenant.HashToken(id + "-token")}, "test"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -147,7 +147,7 @@
 // bounded by its bytes, and all of it is given back in the end.
 func TestWhatIsKeptIsCountedInBytes(t *testing.T) {
 	f, o, dial := newFront(t, 1000)
-	f.Keep = time.Nanosecond
+	f.AnswerRetention = time.Nanosecond
 	c := dial("acme")
 	kept := func() usage {
 		f.mu.Lock()
@@ -174,7 +174,7 @@
 		}
 	}
 	f.mu.Lock()
-	f.share("acme").used = usage{1, f.MaxSize / keptShare}
+	f.share("acme").used = usage{1, f.MaxStoredBytes / keptShare}
 	f.mu.Unlock()
 	for range 6 { // three answers and three releases
 		if _, err := read(t.Context(), c, time.Minute); err != nil {
@@ -235,7 +235,7 @@
 // Guards against set-ups that a switch of the platform can't read, and against
 // destinations without end, each of which the module would remember.
 func TestNumbersAndDestinationsAreChecked(t *testing.T) {
-	f := &Front{Classes: map[string]Class{"space-check": {}}, Dests: 4}
+	f := &Server{Classes: map[string]Class{"space-check": {}}, Destinations: 4}
 	for _, c := range []struct {
 		number string
 		dest   int
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -252,7 +252,7 @@
 		if len(token) < minToken {
 			r.fail("admin.token_env", fmt.Sprintf("the variable %s holds no token of %d bytes or more", name, minToken))
 		}
-		s.AdminTokenHash = tenant.Hash(token)
+		s.AdminTokenHash = tenant.HashToken(token)
 	}
 	if !missing(r.at("settings")) {
 		set := r.settings("settings.")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -101,7 +101,7 @@
 	}
 	got, err := ParseService([]byte(service), env)
 	want := &Service{CallListen: "127.0.0.1:0", KeepAnswers: time.Minute, MaxKept: 20000, MaxConns: 256,
-		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.Hash("0123456789abcdef"), Inventory: "inv.csv"}
+		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken("0123456789abcdef"), Inventory: "inv.csv"}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Errorf("%v (-want +got)\n%s", err, diff)
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -36,10 +36,10 @@
 	Plan plan.Problem
 }
 
-// Faults is every fault of a file, in the order of its lines.
-type Faults []error
+// Errors is every fault of a file, in the order of its lines.
+type Errors []error
 
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	if len(f) == 1 {
 		return f[0].Error()
 	}
@@ -47,7 +47,7 @@
 }
 
 // Unwrap returns them.
-func (f Faults) Unwrap() []error { return f }
+func (f Errors) Unwrap() []error { return f }
 
 const maxFile = 8 << 20
 
@@ -109,7 +109,7 @@
 	slices.SortStableFunc(r.faults, func(a, b fault) int {
 		return cmp.Or(slices.Index(r.files, a.file)-slices.Index(r.files, b.file), a.line-b.line)
 	})
-	var all Faults
+	var all Errors
 	for _, f := range r.faults {
 		all = append(all, f.err)
 	}
--- a/internal/inventory/plan_test.go
+++ b/internal/inventory/plan_test.go
@@ -233,7 +233,7 @@
 	text := strings.NewReplacer("circuits: 30", "circuits: many", "width: 4", "width: 0", "from: lot-a", "from: lot-z",
 		"exchange: 1", "exchange: one").Replace(planText)
 	_, err := Parse("p.yaml", []byte(text))
-	var all Faults
+	var all Errors
 	if !errors.As(err, &all) {
 		t.Fatal(err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -84,7 +84,7 @@
 	core    *core.Core
 	front   *platform.Front
 	channel *platform.Channel
-	api     *callapi.Front
+	api     *callapi.Server
 	tenants *tenant.Registry
 	planner *planner.Loop // nil: off
 	reload  sync.Mutex
@@ -309,14 +309,14 @@
 
 	if sv := p.service; sv != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Front{Calls: p.core, Tenants: p.tenants, Log: p.log, Keep: sv.KeepAnswers,
-			MaxKept: sv.MaxKept, MaxSize: maxKeptBytes, Dests: maxPools, Classes: map[string]callapi.Class{}}
+		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
+			MaxStoredCalls: sv.MaxKept, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.Bounds()
-			p.api.MaxKept, p.api.MaxSize = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
 		}
 		for name, i := range set.Classes {
-			p.api.Classes[name] = callapi.Class{Place: i, Width: set.Brain.Classes[i].Width}
+			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Brain.Classes[i].Width}
 		}
 		if err := p.loadInventory(); err != nil {
 			return stop, err
@@ -486,5 +486,5 @@
 
 func (p *Proxy) status() admin.Status {
 	unanswered, standing := p.core.Counts()
-	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Standing: standing}
+	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Established: standing}
 }
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -155,12 +155,12 @@
 	inv := filepath.Join(t.TempDir(), "inventory.yaml")
 	err = os.WriteFile(inv, fmt.Appendf(nil, "all:\n  children:\n    switches:\n      hosts:\n%s\n    tenants:\n      hosts:\n"+
 		"        acme: {token_sha256: %s}\n        other: {token_sha256: %s, max_calls: 1}\n",
-		strings.Join(hosts, "\n"), tenant.Hash(testToken), tenant.Hash(testToken+"-2")), 0o600)
+		strings.Join(hosts, "\n"), tenant.HashToken(testToken), tenant.HashToken(testToken+"-2")), 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sv := &config.Service{CallListen: "127.0.0.1:0", KeepAnswers: time.Minute, MaxKept: 1000, MaxConns: 50, Inventory: inv,
-		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.Hash(testToken)}
+		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken(testToken)}
 	change(sv)
 	s.run(pf, sv)
 	return s
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -37,18 +37,18 @@
 
 // Errors that callers tell apart.
 var (
-	ErrUnknown  = errors.New("no such tenant")
-	ErrExists   = errors.New("the tenant exists already")
-	ErrInUse    = errors.New("the tenant has calls; disable it and wait for their end")
-	ErrDisabled = errors.New("the tenant is disabled")
-	ErrQuota    = errors.New("the tenant's quota is used up")
-	ErrToken    = errors.New("a token that another tenant has")
+	ErrUnknown    = errors.New("no such tenant")
+	ErrExists     = errors.New("the tenant exists already")
+	ErrInUse      = errors.New("the tenant has calls; disable it and wait for their end")
+	ErrDisabled   = errors.New("the tenant is disabled")
+	ErrQuota      = errors.New("the tenant's quota is used up")
+	ErrTokenInUse = errors.New("a token that another tenant has")
 )
 
 // The origins of a tenant.
 const (
-	FromInventory = "inventory"
-	FromAPI       = "api"
+	OriginInventory = "inventory"
+	OriginAPI       = "api"
 )
 
 const (
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Hash is the form in which tokens are kept.
-func Hash(token string) string {
+// HashToken is the form in which tokens are kept.
+func HashToken(token string) string {
 	h := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(h[:])
 }
@@ -131,7 +131,7 @@
 // put files a record whose spec was checked. It takes the lock as held.
 func (r *Registry) put(t *record) error {
 	if o := r.tokens[t.TokenSHA256]; o != nil && o.ID != t.ID {
-		return ErrToken
+		return ErrTokenInUse
 	}
 	if o := r.tenants[t.ID]; o != nil && r.tokens[o.TokenSHA256] == o {
 		delete(r.tokens, o.TokenSHA256)
@@ -220,19 +220,19 @@
 			return fmt.Errorf("tenant %q: %w", s.ID, err)
 		}
 		t := r.tenants[s.ID]
-		if t != nil && t.origin == FromAPI {
+		if t != nil && t.origin == OriginAPI {
 			return fmt.Errorf("tenant %q: %w, made through the API", s.ID, ErrExists)
 		}
 		if other, twice := tokens[s.TokenSHA256]; twice {
-			return fmt.Errorf("tenant %q: %w: %q", s.ID, ErrToken, other)
+			return fmt.Errorf("tenant %q: %w: %q", s.ID, ErrTokenInUse, other)
 		}
-		if o := r.tokens[s.TokenSHA256]; o != nil && o.origin == FromAPI {
-			return fmt.Errorf("tenant %q: %w", s.ID, ErrToken)
+		if o := r.tokens[s.TokenSHA256]; o != nil && o.origin == OriginAPI {
+			return fmt.Errorf("tenant %q: %w", s.ID, ErrTokenInUse)
 		}
 		want[s.ID], tokens[s.TokenSHA256] = s, s.ID
 	}
 	for id, t := range r.tenants {
-		if t.origin == FromAPI {
+		if t.origin == OriginAPI {
 			continue
 		}
 		delete(r.tokens, t.TokenSHA256) // set anew below: two tenants may have swapped theirs
@@ -249,7 +249,7 @@
 		}
 	}
 	for id, s := range want {
-		next := record{origin: FromInventory}
+		next := record{origin: OriginInventory}
 		if t := r.tenants[id]; t != nil {
 			next = *t
 		}
@@ -264,7 +264,7 @@
 // Authenticate returns the tenant whose bearer token is given. Tokens are
 // compared by their hashes, so the time it takes tells nothing of them.
 func (r *Registry) Authenticate(token string) (string, bool) {
-	h := Hash(token)
+	h := HashToken(token)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tokens[h]; t != nil {
@@ -301,9 +301,9 @@
 	}
 }
 
-// Begin counts a new call in, or says why the tenant may not have it and when
+// BeginCall counts a new call in, or says why the tenant may not have it and when
 // to come back; 0 where that can't be told.
-func (r *Registry) Begin(id string) (again time.Duration, err error) {
+func (r *Registry) BeginCall(id string) (again time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tenants[id]
@@ -328,8 +328,8 @@
 	return 0, nil
 }
 
-// End counts a call out.
-func (r *Registry) End(id string) {
+// EndCall counts a call out.
+func (r *Registry) EndCall(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tenants[id]; t != nil && t.calls > 0 {
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func spec(id, token string) Spec { return Spec{ID: id, TokenSHA256: Hash(token)} }
+func spec(id, token string) Spec { return Spec{ID: id, TokenSHA256: HashToken(token)} }
 
 func who(r *Registry, token string) string {
 	id, _ := r.Authenticate(token)
@@ -17,7 +17,7 @@
 
 func TestSeedIsAllOrNothing(t *testing.T) {
 	r := New(time.Now)
-	if err := errors.Join(r.Create(spec("api", "k"), FromAPI), r.Seed([]Spec{spec("a", "ta"), spec("b", "tb")})); err != nil {
+	if err := errors.Join(r.Create(spec("api", "k"), OriginAPI), r.Seed([]Spec{spec("a", "ta"), spec("b", "tb")})); err != nil {
 		t.Fatal(err)
 	}
 	for name, bad := range map[string][]Spec{
@@ -52,17 +52,17 @@
 			t.Fatalf("tokens 1 and 2 are %q, want b and a", got)
 		}
 	}
-	r.Begin("c")
+	r.BeginCall("c")
 	if err := r.Seed([]Spec{spec("a", "1")}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Begin("c"); !errors.Is(err, ErrDisabled) {
+	if _, err := r.BeginCall("c"); !errors.Is(err, ErrDisabled) {
 		t.Errorf("a tenant in use that left the inventory: got %v, want it disabled", err)
 	}
 	if _, err := r.Get("b"); !errors.Is(err, ErrUnknown) {
 		t.Errorf("a tenant out of use that left the inventory: got %v, want it gone", err)
 	}
-	r.End("c")
+	r.EndCall("c")
 	if err := r.Seed(nil); err != nil || len(r.All()) != 0 {
 		t.Errorf("left: %v, %v", r.All(), err)
 	}
@@ -73,12 +73,12 @@
 	r := New(func() time.Time { return now })
 	s := spec("a", "t")
 	s.MaxCalls, s.CallsPerSecond, s.MaxSockets = 3, 2, 1
-	if err := r.Create(s, FromAPI); err != nil {
+	if err := r.Create(s, OriginAPI); err != nil {
 		t.Fatal(err)
 	}
 	begin := func(want error, again time.Duration) {
 		t.Helper()
-		if got, err := r.Begin("a"); !errors.Is(err, want) || got != again {
+		if got, err := r.BeginCall("a"); !errors.Is(err, want) || got != again {
 			t.Errorf("got %v and %v, want %v and %v", err, got, want, again)
 		}
 	}
@@ -89,7 +89,7 @@
 	begin(nil, 0)
 	now = now.Add(time.Second)
 	begin(ErrQuota, 0) // three at once
-	r.End("a")
+	r.EndCall("a")
 	begin(nil, 0)
 	if err := r.Delete("a"); !errors.Is(err, ErrInUse) {
 		t.Errorf("deleted while in use: %v", err)
