--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -20,78 +20,82 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// A channel may stop and stay open. What it has to tell then counts as told some
-// time after the wait that was asked for, or at once if it is asked again; so the
-// wait is short, and a poll that outlasts it is ended and asked anew.
+// The command channel may hang with its connection open. The platform counts a change as
+// delivered some time after the end of the wait that the poll requested, or at once when the
+// next poll arrives. The requested wait is therefore short, and a poll that exceeds it is
+// cancelled and repeated.
 const (
-	pollBlock    = time.Second            // how long a reply may wait for events
-	pollPatience = 500 * time.Millisecond // what it may take beyond that
-	// A channel that is slow or crowded answers later. Once a poll was given up, the next
-	// asks for what there is now, and those after it may take longer than at first. A
-	// change counts as told 2 s after the end of the wait that was asked for.
-	pollPatienceMost = 1900 * time.Millisecond
-	channelDial      = time.Second
-	maxEventsLen     = 4 << 20
-	channelFirst     = 20 * time.Millisecond
-	channelMost      = 500 * time.Millisecond
-	// emptyMost bounds the pause after a reply that came at once without events: what is
-	// told in that time counts as told, and set-ups stop 0.5 s after.
-	emptyMost = 200 * time.Millisecond
-	maxMoves  = 16 // configurations that were read and whose events were not taken
+	pollBlock = time.Second // wait for events that a poll requests
+	// minReplyTimeout is how long a reply may take beyond the requested wait.
+	minReplyTimeout = 500 * time.Millisecond
+	// maxReplyTimeout replaces minReplyTimeout after a poll that timed out: a slow or
+	// overloaded channel answers later. The first poll after the timeout requests no wait.
+	// The platform counts a change as delivered 2 s after the end of the requested wait.
+	maxReplyTimeout      = 1900 * time.Millisecond
+	channelDialTimeout   = time.Second
+	maxReplySize         = 4 << 20 // bytes
+	minPollRetryInterval = 20 * time.Millisecond
+	maxPollRetryInterval = 500 * time.Millisecond
+	// maxEmptyRetryInterval bounds the interval after an immediate reply without events: a
+	// change published in that time counts as delivered, and set-ups stop 0.5 s later.
+	maxEmptyRetryInterval = 200 * time.Millisecond
+	maxPendingMoves       = 16 // calls of Move whose events are not applied yet
 )
 
-// CommandChannel follows the command channel's list of switches.
+// CommandChannel polls the platform's command channel for changes to the list of switches.
 type CommandChannel struct {
 	Addr         string
 	OnSwitchList func(core.SwitchList)
 	Log          *slog.Logger
 	Metrics      *metrics.Set
-	// OnPollFailure is called after each poll that failed: the list may be old.
+	// OnPollFailure is called after each failed poll: the list may be out of date.
 	OnPollFailure func()
 
-	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	cursor   int64         // the last event taken; the follower's own
-	patience time.Duration // of the next poll; the follower's own
-	failed   int           // polls in a row that failed; the follower's own
+	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	// Used only by the goroutine that runs Follow, and by Apply before it starts:
+	cursor       int64         // number of the last event that was applied
+	replyTimeout time.Duration // of the next poll, beyond the requested wait
+	failedPolls  int           // consecutive polls that failed
 
-	mu    sync.Mutex
-	moved []*Events          // what Move brought and the follower has not taken; under mu, as Addr is
-	stop  context.CancelFunc // ends the poll that runs; under mu
-	wake  chan struct{}      // has a value after Move
+	mu           sync.Mutex         // guards Addr, pendingMoves and cancelPoll
+	pendingMoves []*Events          // passed to Move and not applied yet
+	cancelPoll   context.CancelFunc // cancels the current poll
+	wake         chan struct{}      // receives a value after Move
 }
 
-// NewCommandChannel makes a channel that List hears of.
-func NewCommandChannel(addr string, list func(core.SwitchList), log *slog.Logger, count *metrics.Set) *CommandChannel {
+// NewCommandChannel returns a channel that passes each list of switches to onSwitchList.
+func NewCommandChannel(addr string, onSwitchList func(core.SwitchList), log *slog.Logger, metricSet *metrics.Set) *CommandChannel {
 	var dialer net.Dialer
-	return &CommandChannel{dial: dialer.DialContext, Addr: addr, OnSwitchList: list, Log: log, Metrics: count, OnPollFailure: func() {}, patience: pollPatience,
-		stop: func() {}, wake: make(chan struct{}, 1)}
+	return &CommandChannel{dial: dialer.DialContext, Addr: addr, OnSwitchList: onSwitchList, Log: log, Metrics: metricSet, OnPollFailure: func() {}, replyTimeout: minReplyTimeout,
+		cancelPoll: func() {}, wake: make(chan struct{}, 1)}
 }
 
-// Events are events in the channel's form, read and checked.
+// Events holds decoded and validated events of the command channel.
 type Events struct {
 	cursor int64
-	lists  []numbered
+	lists  []numberedList
 }
 
-type numbered struct {
+type numberedList struct {
 	cursor int64
 	list   core.SwitchList
 }
 
-type events struct {
-	Cursor int64     `json:"cursor"`
-	Cmds   []command `json:"cmds"`
+// eventsJSON is the body of a reply.
+type eventsJSON struct {
+	Cursor int64         `json:"cursor"`
+	Cmds   []commandJSON `json:"cmds"`
 }
 
-type command struct {
+type commandJSON struct {
 	Cursor int64 `json:"cursor"`
 	Nodes  *struct {
-		Complete bool     `json:"complete"`
-		Members  []listed `json:"members"`
+		Complete bool         `json:"complete"`
+		Members  []memberJSON `json:"members"`
 	} `json:"nodes"`
 }
 
-type listed struct {
+type memberJSON struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
 	Cell    int     `json:"cell"`
@@ -99,52 +103,53 @@
 	UpSince float64 `json:"up_since_ms"`
 }
 
-var phases = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Removed}
+var statesByPhase = map[string]routing.State{"up": routing.Ready, "draining": routing.Draining, "removed": routing.Removed}
 
-// ParseEvents reads events in the channel's form. One that can't be read spoils all.
+// ParseEvents decodes events in the command channel's format. It returns an error and no
+// events if any of them is invalid.
 func ParseEvents(b []byte) (*Events, error) {
-	var in events
-	if err := jsoniter.Unmarshal(b, &in); err != nil {
+	var reply eventsJSON
+	if err := jsoniter.Unmarshal(b, &reply); err != nil {
 		return nil, fmt.Errorf("events: %w", err)
 	}
-	out := &Events{cursor: in.Cursor}
-	for _, cmd := range in.Cmds {
+	events := &Events{cursor: reply.Cursor}
+	for _, cmd := range reply.Cmds {
 		if cmd.Nodes == nil {
-			continue // of a kind that is not for us
+			continue // a command of another type
 		}
-		l := core.SwitchList{Source: "channel", Full: cmd.Nodes.Complete}
-		for _, n := range cmd.Nodes.Members {
-			st, ok := phases[n.Phase]
-			if !ok || n.ID == "" {
-				return nil, fmt.Errorf("events: switch %q in phase %q", n.ID, n.Phase)
+		list := core.SwitchList{Source: "channel", Full: cmd.Nodes.Complete}
+		for _, entry := range cmd.Nodes.Members {
+			state, ok := statesByPhase[entry.Phase]
+			if !ok || entry.ID == "" {
+				return nil, fmt.Errorf("events: switch %q: missing id or unknown phase %q", entry.ID, entry.Phase)
 			}
-			m := core.Switch{ID: n.ID, Addr: n.Addr, Exchange: n.Cell, State: st}
-			if n.UpSince > 0 {
-				m.Started = time.UnixMicro(int64(n.UpSince * 1000))
+			member := core.Switch{ID: entry.ID, Addr: entry.Addr, Exchange: entry.Cell, State: state}
+			if entry.UpSince > 0 {
+				member.Started = time.UnixMicro(int64(entry.UpSince * 1000))
 			}
-			l.Switches = append(l.Switches, m)
+			list.Switches = append(list.Switches, member)
 		}
-		out.lists = append(out.lists, numbered{cmd.Cursor, l})
+		events.lists = append(events.lists, numberedList{cmd.Cursor, list})
 	}
-	return out, nil
+	return events, nil
 }
 
-// Apply takes in the events that are new, in their order.
-func (c *CommandChannel) Apply(ev *Events) {
-	for _, e := range ev.lists {
-		if e.cursor > 0 && e.cursor <= c.cursor {
+// Apply applies the events that are new, in their order.
+func (c *CommandChannel) Apply(events *Events) {
+	for _, event := range events.lists {
+		if event.cursor > 0 && event.cursor <= c.cursor {
 			continue
 		}
-		c.Log.Info("list of switches", "event", e.cursor, "complete", e.list.Full, "switches", len(e.list.Switches))
-		c.OnSwitchList(e.list)
-		c.cursor = max(c.cursor, e.cursor)
+		c.Log.Info("list of switches", "event", event.cursor, "complete", event.list.Full, "switches", len(event.list.Switches))
+		c.OnSwitchList(event.list)
+		c.cursor = max(c.cursor, event.cursor)
 	}
-	c.cursor = max(c.cursor, ev.cursor)
+	c.cursor = max(c.cursor, events.cursor)
 }
 
-// Move makes the channel go on at another address, where the numbers continue;
-// known are the events that came with it. The poll that runs is ended: the old
-// address tells nothing more, and would only end it later.
+// Move continues at another address, where the event numbers continue; known are the
+// events supplied with the address. It cancels the current poll: the old address sends no
+// further events, and the poll would only end later.
 func (c *CommandChannel) Move(addr string, known *Events) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,144 +157,146 @@
 		c.Log.Info("command channel moved", "addr", addr)
 	}
 	c.Addr = addr
-	if len(c.moved) < maxMoves {
-		c.moved = append(c.moved, known)
+	if len(c.pendingMoves) < maxPendingMoves {
+		c.pendingMoves = append(c.pendingMoves, known)
 	}
-	c.stop()
+	c.cancelPoll()
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// next takes in what Move brought and returns where to ask, for how long a wait, and the
-// poll's context.
-func (c *CommandChannel) next(ctx context.Context) (string, time.Duration, context.Context, context.CancelFunc) {
+// beginPoll applies the events passed to Move. It returns the address to poll, the wait to
+// request and the context of the poll with its cancel function.
+func (c *CommandChannel) beginPoll(ctx context.Context) (string, time.Duration, context.Context, context.CancelFunc) {
 	c.mu.Lock()
-	addr, known := c.Addr, c.moved
-	c.moved = nil
+	addr, known := c.Addr, c.pendingMoves
+	c.pendingMoves = nil
 	select {
 	case <-c.wake:
 	default:
 	}
 	block := pollBlock
-	if c.failed > 0 {
+	if c.failedPolls > 0 {
 		block = 0
 	}
-	ctx, c.stop = context.WithTimeout(ctx, block+c.patience)
-	stop := c.stop
+	ctx, c.cancelPoll = context.WithTimeout(ctx, block+c.replyTimeout)
+	cancel := c.cancelPoll
 	c.mu.Unlock()
 	for _, events := range known {
 		c.Apply(events)
 	}
-	return addr, block, ctx, stop
+	return addr, block, ctx, cancel
 }
 
-// hasMoved says whether Move was called since the poll began.
-func (c *CommandChannel) hasMoved() bool {
+// hasPendingMove reports whether Move was called since the poll began.
+func (c *CommandChannel) hasPendingMove() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.moved) > 0
+	return len(c.pendingMoves) > 0
 }
 
-var errEmpty = errors.New("a reply without events, well before the wait asked for")
+var errEmptyReply = errors.New("reply without events well before the end of the requested wait")
 
-// Follow asks for new events until the context ends.
+// Follow polls for new events until the context is cancelled. It always returns nil.
 func (c *CommandChannel) Follow(ctx context.Context) error {
-	// A dial has a limit of its own, and there is no limit on connections: a dial to a
-	// channel that is cut off outlives its poll, and would keep the next ones waiting.
-	tr := &http.Transport{MaxIdleConns: 1, DisableCompression: true,
+	// A dial to an unreachable channel outlives its poll. A timeout of its own, and no limit
+	// on connections, keep it from delaying the next polls.
+	transport := &http.Transport{MaxIdleConns: 1, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, channelDial)
+			ctx, cancel := context.WithTimeout(ctx, channelDialTimeout)
 			defer cancel()
 			return c.dial(ctx, network, addr)
 		}}
-	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr}
-	gap := channelFirst
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport}
+	interval := minPollRetryInterval
 	for ctx.Err() == nil {
-		asked, had, again := time.Now(), c.cursor, c.failed > 0
+		began, cursor, retried := time.Now(), c.cursor, c.failedPolls > 0
 		err := c.poll(ctx, client)
-		took := time.Since(asked)
-		if err == nil && c.cursor == had && took < pollBlock/2 && !again {
-			err = errEmpty // asked again at once, it would be asked without end
+		took := time.Since(began)
+		if err == nil && c.cursor == cursor && took < pollBlock/2 && !retried {
+			err = errEmptyReply // repeating the poll at once would be a busy loop
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		moved := c.hasMoved()
-		c.Metrics.Polls.WithLabelValues(pollResult(err, c.cursor > had, moved)).Inc()
+		moved := c.hasPendingMove()
+		c.Metrics.Polls.WithLabelValues(pollResult(err, c.cursor > cursor, moved)).Inc()
 		if err == nil || moved {
-			gap = channelFirst
+			interval = minPollRetryInterval
 			if err == nil {
-				c.pollSucceeded(again, took)
+				c.pollSucceeded(retried, took)
 			}
 			continue
 		}
-		most := channelMost
-		if errors.Is(err, errEmpty) {
-			most = emptyMost
+		maxInterval := maxPollRetryInterval
+		if errors.Is(err, errEmptyReply) {
+			maxInterval = maxEmptyRetryInterval
 		} else {
-			c.pollFailed(err, addressOf(c))
+			c.pollFailed(err, currentAddr(c))
 		}
-		// The pause counts from when it was asked: one that took long is asked again at once.
-		c.pause(ctx, time.Until(asked.Add(gap)))
-		gap = min(2*gap, most)
+		// The interval starts with the poll: a poll that took long is repeated at once.
+		c.pause(ctx, time.Until(began.Add(interval)))
+		interval = min(2*interval, maxInterval)
 	}
 	return nil
 }
 
-// pause waits for some time, or until Move is called or the context ends.
+// pause waits for d, until Move is called or until the context is cancelled.
 func (c *CommandChannel) pause(ctx context.Context, d time.Duration) {
-	again := time.NewTimer(d)
-	defer again.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-again.C:
+	case <-timer.C:
 	case <-c.wake:
 	case <-ctx.Done():
 	}
 }
 
-// pollSucceeded notes a poll that brought a reply. One that came quickly shows that the
-// channel is not slow any more.
-func (c *CommandChannel) pollSucceeded(again bool, took time.Duration) {
-	if c.failed > 0 {
-		c.Log.Info("command channel answers again", "failed", c.failed)
+// pollSucceeded records a poll that got a reply after took. retried says that the previous
+// poll failed, so that this one requested no wait. A quick reply shows that the channel is no
+// longer slow.
+func (c *CommandChannel) pollSucceeded(retried bool, took time.Duration) {
+	if c.failedPolls > 0 {
+		c.Log.Info("command channel answers again", "failed", c.failedPolls)
 	}
-	c.failed = 0
-	if again && took < pollPatience/2 || !again && took < pollBlock+pollPatience/2 {
-		c.patience = pollPatience
+	c.failedPolls = 0
+	if retried && took < minReplyTimeout/2 || !retried && took < pollBlock+minReplyTimeout/2 {
+		c.replyTimeout = minReplyTimeout
 	}
 }
 
-// pollFailed notes a poll that failed. The next one may take longer if this one was
-// given up.
+// pollFailed records a failed poll. The next one may take longer if this one timed out
+// after it had connected.
 func (c *CommandChannel) pollFailed(err error, addr string) {
-	c.failed++
-	if c.failed == 1 { // the others are counted
-		c.Log.Warn("command channel", "addr", addr, "error", err)
+	c.failedPolls++
+	if c.failedPolls == 1 { // the metric counts the others
+		c.Log.Warn("command channel poll failed", "addr", addr, "error", err)
 	}
-	var dial *net.OpError
-	if errors.Is(err, context.DeadlineExceeded) && !(errors.As(err, &dial) && dial.Op == "dial") {
-		c.patience = pollPatienceMost
+	var opErr *net.OpError
+	if errors.Is(err, context.DeadlineExceeded) && !(errors.As(err, &opErr) && opErr.Op == "dial") {
+		c.replyTimeout = maxReplyTimeout
 	}
 	c.OnPollFailure()
 }
 
-func addressOf(c *CommandChannel) string {
+// currentAddr returns the address, which Move may change.
+func currentAddr(c *CommandChannel) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Addr
 }
 
-// pollResult is the metrics label of a poll.
-func pollResult(err error, news, moved bool) string {
+// pollResult returns the metrics label of a poll.
+func pollResult(err error, newEvents, moved bool) string {
 	switch {
-	case news:
+	case newEvents:
 		return metrics.PollEvents
 	case moved:
 		return metrics.PollMoved
-	case err == nil || errors.Is(err, errEmpty):
+	case err == nil || errors.Is(err, errEmptyReply):
 		return metrics.PollEmpty
 	case errors.Is(err, context.DeadlineExceeded):
 		return metrics.PollTimeout
@@ -297,11 +304,12 @@
 	return metrics.PollFailed
 }
 
+// poll requests events once and applies those in the reply.
 func (c *CommandChannel) poll(ctx context.Context, client *http.Client) error {
-	addr, block, ctx, cancel := c.next(ctx)
+	addr, block, ctx, cancel := c.beginPoll(ctx)
 	defer cancel()
-	q := url.Values{"resume": {strconv.FormatInt(c.cursor, 10)}, "block": {strconv.FormatInt(block.Milliseconds(), 10)}}
-	u := url.URL{Scheme: "http", Host: addr, Path: "/cmd/next", RawQuery: q.Encode()}
+	query := url.Values{"resume": {strconv.FormatInt(c.cursor, 10)}, "block": {strconv.FormatInt(block.Milliseconds(), 10)}}
+	u := url.URL{Scheme: "http", Host: addr, Path: "/cmd/next", RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return err
@@ -311,19 +319,19 @@
 		return err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxEventsLen+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplySize+1))
 	switch {
 	case err != nil:
 		return err
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %s", resp.Status)
-	case len(b) > maxEventsLen:
-		return errors.New("a reply that is too long")
+	case len(body) > maxReplySize:
+		return errors.New("reply is too long")
 	}
-	ev, err := ParseEvents(b)
+	events, err := ParseEvents(body)
 	if err != nil {
 		return err
 	}
-	c.Apply(ev)
+	c.Apply(events)
 	return nil
 }
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -7,118 +7,119 @@
 	"time"
 )
 
-// A connection from callers is closed by this side only when nothing is left on it: no
-// set-up without an answer, no call whose end is not told, no message that has begun.
-// What a caller wrote before the close is still read and answered.
+// The server closes a connection from callers only when it is unused: no set-up has a pending
+// final answer, the end of every call was sent, and no message has been received in part.
+// Messages that a caller sent before the close are still read and answered.
 const (
-	// lastLook is how long a connection that is to be closed is looked at for what had
-	// been written before.
-	lastLook = 2 * time.Millisecond
-	// closingLimit bounds the closing of a connection whose caller goes on writing.
-	closingLimit = 300 * time.Millisecond
+	// finalReadTimeout is how long the reader of a connection to be closed waits for messages
+	// that were sent before.
+	finalReadTimeout = 2 * time.Millisecond
+	// maxClosingTime bounds the closing of a connection whose caller keeps sending.
+	maxClosingTime = 300 * time.Millisecond
 )
 
-// Drain closes each connection as soon as nothing is left on it. New ones are still
-// taken, for callers that come again: what they ask is refused by the core, which must
-// have been stopped.
-func (f *Server) Drain() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.draining = true
-	for c := range f.conns {
-		f.closeIfDone(c)
+// Drain closes each connection as soon as it is unused. New connections are still accepted, for
+// callers that reconnect; the core, which must be stopped first, refuses their set-ups.
+func (s *Server) Drain() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
+	for c := range s.conns {
+		s.closeIfUnusedLocked(c)
 	}
 }
 
-// closeIfDone closes a connection of a front that drains if nothing is left on it. One on
-// which nothing was asked yet may be about to. The lock is held.
-func (f *Server) closeIfDone(c *conn) {
-	if f.draining && c.asked && !c.isUsed() {
+// closeIfUnusedLocked closes an unused connection if the server is draining. A connection on
+// which no usable message was received yet stays open, as one may be about to arrive. Must be
+// called with s.mu held.
+func (s *Server) closeIfUnusedLocked(c *callerConn) {
+	if s.draining && c.usableSeen && !c.inUse() {
 		c.beginClose()
 	}
 }
 
-// isUsed says whether something is left on the connection. The lock is held.
-func (c *conn) isUsed() bool {
-	if len(c.open)+len(c.standing)+c.answering > 0 {
+// inUse reports whether the connection has open set-ups, established calls, answers or releases
+// being written, or unacknowledged releases whose caller acknowledges them. Must be called with
+// server.mu held.
+func (c *callerConn) inUse() bool {
+	if len(c.openSetUps)+len(c.established)+c.answersInFlight > 0 {
 		return true
 	}
-	for _, r := range c.front.releases {
-		if r.sentOn == c && (r.out || c.acknowledges) {
+	for _, r := range c.server.pendingReleases {
+		if r.sentOn == c && (r.sending || c.acknowledges) {
 			return true
 		}
 	}
 	return false
 }
 
-// beginClose makes the reader close the connection once what was written before is read
-// and answered. The front's lock is held.
-func (c *conn) beginClose() {
+// beginClose makes the reader close the connection once the messages already sent on it are
+// read and answered. Must be called with server.mu held.
+func (c *callerConn) beginClose() {
 	if c.closing {
 		return
 	}
-	c.closing, c.closeBy = true, time.Now().Add(closingLimit)
+	c.closing, c.closeDeadline = true, time.Now().Add(maxClosingTime)
 	if c.awaiting {
 		_ = c.SetReadDeadline(time.Now()) // wakes the reader
 	}
 }
 
-// errClosedHere ends a connection that this side closes with nothing left on it.
-var errClosedHere = errors.New("closed by this side")
+// errClosedLocally ends an unused connection that the server closes.
+var errClosedLocally = errors.New("closed by the proxy")
 
-// await waits for the first byte of a message, and closes the connection when its time
-// has come: errSilent or errClosedHere.
-func (c *conn) await(in *bufio.Reader) error {
+// awaitMessage waits for the first byte of a message. It returns errIdle if firstRequestTimeout
+// or idleTimeout has expired, and errClosedLocally if the connection is closing and unused.
+func (c *callerConn) awaitMessage(in *bufio.Reader) error {
 	if in.Buffered() > 0 {
 		return nil
 	}
 	for {
-		closing, asked := c.beginAwait()
+		closing, usableSeen := c.beginAwait()
 		_, err := in.Peek(1)
-		nowClosing, over := c.endAwait()
+		nowClosing, closable := c.endAwait()
 		switch {
 		case err == nil:
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
-		case closing && over:
-			return errClosedHere
-		case nowClosing, c.hasOpen(), asked != c.hasAsked():
+		case closing && closable:
+			return errClosedLocally
+		case nowClosing, c.hasOpenSetUps(), usableSeen != c.hasSentUsable():
 			continue
 		}
-		return errSilent
+		return errIdle
 	}
 }
 
-// beginAwait sets the time until which a message may begin.
-func (c *conn) beginAwait() (closing, asked bool) {
-	f := c.front
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// beginAwait sets the deadline for the first byte of a message.
+func (c *callerConn) beginAwait() (closing, usableSeen bool) {
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
 	now := time.Now()
-	until := now.Add(f.idle)
+	deadline := now.Add(server.idleTimeout)
 	switch {
 	case c.closing:
-		until = now.Add(lastLook)
-	case !c.asked:
-		until = c.born.Add(f.silent)
+		deadline = now.Add(finalReadTimeout)
+	case !c.usableSeen:
+		deadline = c.created.Add(server.firstRequestTimeout)
 	}
 	c.awaiting = true
-	// One that can't be set is no error: the connection has been closed, and what was
-	// read before that still counts.
-	_ = c.SetReadDeadline(until)
-	return c.closing, c.asked
+	// An error is ignored: the connection was closed, and messages read before that are still
+	// processed.
+	_ = c.SetReadDeadline(deadline)
+	return c.closing, c.usableSeen
 }
 
-// endAwait says whether the connection is to be closed, and whether nothing is left that
-// it must stay for.
-func (c *conn) endAwait() (closing, over bool) {
-	c.front.mu.Lock()
-	defer c.front.mu.Unlock()
+// endAwait reports whether the connection is closing, and whether it may be closed now.
+func (c *callerConn) endAwait() (closing, closable bool) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	c.awaiting = false
-	over = !c.isUsed() || c.front.closed
-	if c.closing && !over {
-		c.closing = false // a set-up came in meanwhile, and has to be answered first
+	closable = !c.inUse() || c.server.closed
+	if c.closing && !closable {
+		c.closing = false // a set-up arrived meanwhile and must be answered first
 	}
-	return c.closing, over
+	return c.closing, closable
 }
--- a/internal/platform/release.go
+++ b/internal/platform/release.go
@@ -10,239 +10,246 @@
 )
 
 const (
-	maxPendingReleases    = 4096
-	pendingReleaseLife    = 8 * time.Second        // one that finds no connection by then is lost
-	acknowledgementWait   = 2 * time.Second        // a release is remembered so long for its acknowledgement
-	releaseRetryInterval  = 250 * time.Millisecond // one that is not acknowledged goes out again after this, then twice that
-	acknowledgementsCheck = 10 * time.Millisecond
+	maxPendingReleases          = 4096
+	pendingReleaseTimeout       = 8 * time.Second        // a release that gets no connection within this time is lost
+	acknowledgementTimeout      = 2 * time.Second        // how long a release is kept for its acknowledgement
+	releaseRetryInterval        = 250 * time.Millisecond // until an unacknowledged release is first sent again; doubles each time
+	acknowledgementPollInterval = 10 * time.Millisecond
 )
 
-// pendingRelease is the release of a call that stood, until it is acknowledged. It is
-// bound to no connection; the one that its call came on is the first choice.
+// pendingRelease is the release of a call that ended, until it is acknowledged. It may be
+// sent on any connection; the one on which the call was set up is preferred.
 type pendingRelease struct {
-	id     uint64
-	cut    bool
-	until  time.Time
-	retry  time.Duration
-	sentOn *conn // where it was sent last
-	out    bool  // being written
-	timer  *time.Timer
+	id            uint64
+	cut           bool
+	deadline      time.Time
+	retryInterval time.Duration
+	sentOn        *callerConn // connection on which it was last sent; nil: none
+	sending       bool        // being written
+	timer         *time.Timer
 }
 
-// Release says that a call that stood is over.
-func (c *conn) Release(id uint64, cut bool) {
-	f := c.front
-	f.mu.Lock()
-	send := f.release(id, cut, c)
-	f.noLongerStands(id)
-	f.mu.Unlock()
+// Release releases an established call that ended; cut says that it was cut off.
+func (c *callerConn) Release(id uint64, cut bool) {
+	server := c.server
+	server.mu.Lock()
+	send := server.startRelease(id, cut, c)
+	server.removeEstablished(id)
+	server.mu.Unlock()
 	send()
 }
 
-// ForwardUnknownRelease passes on the release of a call that is not known here. It never blocks:
-// the readers of switches call it, and a slow caller must not hold them.
-func (f *Server) ForwardUnknownRelease(id uint64, cut bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if send := f.release(id, cut, nil); !f.closed {
-		f.wg.Go(send)
+// ForwardUnknownRelease forwards the release of an unknown call to a caller. It never blocks:
+// it is called by the readers of switch connections, which a slow caller must not delay.
+func (s *Server) ForwardUnknownRelease(id uint64, cut bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if send := s.startRelease(id, cut, nil); !s.closed {
+		s.wg.Go(send)
 	}
 }
 
-// release sends a release on the connection given or another, and again elsewhere if
-// it is not acknowledged by callers who otherwise do so: one that a close crosses
-// is lost without an error, and a connection that is no caller's swallows it, such as a
-// bad client's or that of the test after a start. What it
-// returns does the writing, without the lock, which is held here.
-func (f *Server) release(id uint64, cut bool, on *conn) (send func()) {
-	if f.closed || f.releases[id] != nil {
+// startRelease registers a release and returns a function that sends it, on the preferred
+// connection if possible. The release is sent again on another connection if callers that
+// acknowledge releases do not acknowledge it: a release that crosses a close is lost without
+// an error, and a connection that belongs to no real caller, such as that of a faulty client or
+// of the test after a start, discards it. Must be called with s.mu held; the returned function
+// without.
+func (s *Server) startRelease(id uint64, cut bool, preferred *callerConn) (send func()) {
+	if s.closed || s.pendingReleases[id] != nil {
 		return func() {}
 	}
-	if len(f.releases) >= maxPendingReleases {
-		f.Metrics.Releases.WithLabelValues(metrics.ReleaseNoRoom).Inc()
-		f.Log.Error("a release is lost: too many wait", "call", callName(id))
+	if len(s.pendingReleases) >= maxPendingReleases {
+		s.Metrics.Releases.WithLabelValues(metrics.ReleaseNoRoom).Inc()
+		s.Log.Error("release lost: too many pending releases", "call", formatCallID(id))
 		return func() {}
 	}
-	r := &pendingRelease{id: id, cut: cut, until: time.Now().Add(pendingReleaseLife), retry: releaseRetryInterval}
-	f.releases[id] = r
-	r.timer = time.AfterFunc(pendingReleaseLife, func() { f.due(r) })
-	if on == nil || !f.conns[on] || on.closing {
-		on = f.pick(nil)
+	r := &pendingRelease{id: id, cut: cut, deadline: time.Now().Add(pendingReleaseTimeout), retryInterval: releaseRetryInterval}
+	s.pendingReleases[id] = r
+	r.timer = time.AfterFunc(pendingReleaseTimeout, func() { s.handleTimeout(r) })
+	if preferred == nil || !s.conns[preferred] || preferred.closing {
+		preferred = s.pickConn(nil)
 	}
-	return f.sendOn(r, on)
+	return s.sendOn(r, preferred)
 }
 
-// sendOn sends a release on a connection; without one it waits for the next that
-// opens. The lock is held.
-func (f *Server) sendOn(r *pendingRelease, c *conn) (send func()) {
+// sendOn returns a function that sends a release on c. If c is nil, the release waits for the
+// next connection that opens. Must be called with s.mu held; the returned function without.
+func (s *Server) sendOn(r *pendingRelease, c *callerConn) (send func()) {
 	if c == nil {
 		r.sentOn = nil
-		r.timer.Reset(time.Until(r.until))
+		r.timer.Reset(time.Until(r.deadline))
 		return func() {}
 	}
-	r.sentOn, r.out = c, true
+	r.sentOn, r.sending = c, true
 	return func() {
-		m := releaseOf(r.id, r.cut)
+		m := releaseMessage(r.id, r.cut)
 		err := c.send(&m)
-		f.Metrics.Releases.WithLabelValues(metrics.ReleaseSent).Inc()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		r.out = false
-		defer f.closeIfDone(c)
-		if f.releases[r.id] != r {
+		s.Metrics.Releases.WithLabelValues(metrics.ReleaseSent).Inc()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		r.sending = false
+		defer s.closeIfUnusedLocked(c)
+		if s.pendingReleases[r.id] != r {
 			return // acknowledged already
 		}
-		if other := f.pick(c); err != nil && other != c {
-			f.again(r)
+		if other := s.pickConn(c); err != nil && other != c {
+			s.resend(r)
 			return
 		} else if err != nil {
-			// Its reader has not found out yet: no use to try it again at once.
+			// The reader of c has not noticed the failure yet, and there is no other connection:
+			// retrying at once is useless.
 			r.timer.Reset(releaseRetryInterval)
 			return
 		}
-		wait := acknowledgementWait
-		if f.acknowledges || !c.trusted {
-			wait, r.retry = r.retry, 2*r.retry
+		wait := acknowledgementTimeout
+		if s.callersAcknowledge || !c.trusted {
+			wait, r.retryInterval = r.retryInterval, 2*r.retryInterval
 		}
-		r.timer.Reset(min(wait, time.Until(r.until)))
+		r.timer.Reset(min(wait, time.Until(r.deadline)))
 	}
 }
 
-// again sends a release elsewhere. The lock is held.
-func (f *Server) again(r *pendingRelease) {
-	if f.closed || !time.Now().Before(r.until) {
-		f.drop(r)
+// resend sends a release on another connection if there is one, or abandons it after its
+// deadline. Must be called with s.mu held.
+func (s *Server) resend(r *pendingRelease) {
+	if s.closed || !time.Now().Before(r.deadline) {
+		s.abandonRelease(r)
 		return
 	}
-	f.Metrics.Releases.WithLabelValues(metrics.ReleaseRepeated).Inc()
-	f.wg.Go(f.sendOn(r, f.pick(r.sentOn)))
+	s.Metrics.Releases.WithLabelValues(metrics.ReleaseRepeated).Inc()
+	s.wg.Go(s.sendOn(r, s.pickConn(r.sentOn)))
 }
 
-// due is called when a release has waited long enough.
-func (f *Server) due(r *pendingRelease) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// handleTimeout runs when a release's timer fires.
+func (s *Server) handleTimeout(r *pendingRelease) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
-	case f.releases[r.id] != r || r.out:
-	case r.sentOn != nil && r.sentOn.trusted && !f.acknowledges:
-		f.forget(r) // these callers acknowledge nothing
+	case s.pendingReleases[r.id] != r || r.sending:
+	case r.sentOn != nil && r.sentOn.trusted && !s.callersAcknowledge:
+		s.removeRelease(r) // these callers acknowledge no releases
 	default:
-		f.again(r)
+		s.resend(r)
 	}
 }
 
-// forget drops a release that nothing more is to be done for. The lock is held.
-func (f *Server) forget(r *pendingRelease) {
-	delete(f.releases, r.id)
+// removeRelease removes a release that needs no further action. Must be called with s.mu held.
+func (s *Server) removeRelease(r *pendingRelease) {
+	delete(s.pendingReleases, r.id)
 	r.timer.Stop()
 	if r.sentOn != nil {
-		f.closeIfDone(r.sentOn)
+		s.closeIfUnusedLocked(r.sentOn)
 	}
 }
 
-// drop forgets a release that nobody acknowledged. The lock is held.
-func (f *Server) drop(r *pendingRelease) {
-	f.forget(r)
+// abandonRelease removes and counts a release that was not acknowledged. Must be called with
+// s.mu held.
+func (s *Server) abandonRelease(r *pendingRelease) {
+	s.removeRelease(r)
 	switch {
-	case f.closed:
+	case s.closed:
 	case r.sentOn == nil:
-		f.Metrics.Releases.WithLabelValues(metrics.ReleaseNoConnection).Inc()
-		f.Log.Error("a release is lost: no connection from callers", "call", callName(r.id))
+		s.Metrics.Releases.WithLabelValues(metrics.ReleaseNoConnection).Inc()
+		s.Log.Error("release lost: no connection from callers", "call", formatCallID(r.id))
 	default:
-		f.Metrics.Releases.WithLabelValues(metrics.ReleaseUnacknowledged).Inc()
-		f.Log.Warn("a release was not acknowledged", "call", callName(r.id))
+		s.Metrics.Releases.WithLabelValues(metrics.ReleaseUnacknowledged).Inc()
+		s.Log.Warn("release not acknowledged", "call", formatCallID(r.id))
 	}
 }
 
-// acknowledged takes in an acknowledgement; false if nothing was to be acknowledged.
-func (f *Server) acknowledged(c *conn, id uint64) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	r := f.releases[id]
+// handleAcknowledgement processes an acknowledgement received on c. It returns false if no
+// release of the call is pending.
+func (s *Server) handleAcknowledgement(c *callerConn, id uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.pendingReleases[id]
 	if r == nil {
 		return false
 	}
-	f.acknowledges, c.acknowledges = true, true
-	f.Metrics.Releases.WithLabelValues(metrics.ReleaseAcknowledged).Inc()
-	f.forget(r)
+	s.callersAcknowledge, c.acknowledges = true, true
+	s.Metrics.Releases.WithLabelValues(metrics.ReleaseAcknowledged).Inc()
+	s.removeRelease(r)
 	return true
 }
 
-// sendElsewhere sends the releases that a closed connection may have swallowed elsewhere,
-// if its caller acknowledges what it gets.
-func (f *Server) sendElsewhere(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, r := range f.releases {
-		if r.sentOn == c && !r.out && c.acknowledges {
-			f.again(r)
+// resendAfterClose resends the releases that a closed connection may have lost, if its caller
+// acknowledges releases.
+func (s *Server) resendAfterClose(c *callerConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.pendingReleases {
+		if r.sentOn == c && !r.sending && c.acknowledges {
+			s.resend(r)
 		}
 	}
 }
 
-// WaitForReleases waits until no release is being written, or waits for its
-// acknowledgement by callers who give one.
-func (f *Server) WaitForReleases(ctx context.Context) {
-	look := time.NewTicker(acknowledgementsCheck)
-	defer look.Stop()
+// WaitForReleases waits until no release is being written and, if callers acknowledge
+// releases, none is pending. It returns early if the context is cancelled.
+func (s *Server) WaitForReleases(ctx context.Context) {
+	ticker := time.NewTicker(acknowledgementPollInterval)
+	defer ticker.Stop()
 	for {
-		f.mu.Lock()
-		wait := f.acknowledges && len(f.releases) > 0
-		for _, r := range f.releases {
-			wait = wait || r.out
+		s.mu.Lock()
+		wait := s.callersAcknowledge && len(s.pendingReleases) > 0
+		for _, r := range s.pendingReleases {
+			wait = wait || r.sending
 		}
-		f.mu.Unlock()
+		s.mu.Unlock()
 		if !wait {
 			return
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// flush sends what waits for a connection. The lock is held.
-func (f *Server) flush() {
-	for _, r := range f.releases {
-		if r.sentOn == nil && !r.out {
-			f.wg.Go(f.sendOn(r, f.pick(nil)))
+// sendUnsent sends the releases that wait for a connection. Must be called with s.mu held.
+func (s *Server) sendUnsent() {
+	for _, r := range s.pendingReleases {
+		if r.sentOn == nil && !r.sending {
+			s.wg.Go(s.sendOn(r, s.pickConn(nil)))
 		}
 	}
 }
 
-// pick chooses a connection for a release, another than the one given if there
-// is any: best one whose caller acknowledges, then one with calls, then one that
-// asked for something, and the one that was used last. The lock is held.
-func (f *Server) pick(not *conn) *conn {
-	rank := func(c *conn) int {
+// pickConn returns a connection for a release, or nil; exclude only if there is no other. It
+// prefers connections that acknowledged a release, then trusted ones, then ones on which a
+// usable message was received, and among equals the one that was used last. Must be called
+// with s.mu held.
+func (s *Server) pickConn(exclude *callerConn) *callerConn {
+	rank := func(c *callerConn) int {
 		switch {
-		case c == not:
+		case c == exclude:
 			return 0
 		case c.acknowledges:
 			return 4
 		case c.trusted:
 			return 3
-		case c.asked:
+		case c.usableSeen:
 			return 2
 		}
 		return 1
 	}
-	var best *conn
-	most := -1
-	for c := range f.conns {
+	var best *callerConn
+	bestRank := -1
+	for c := range s.conns {
 		if c.closing {
 			continue
 		}
-		if r := rank(c); r > most || r == most && c.last.After(best.last) {
-			best, most = c, r
+		if r := rank(c); r > bestRank || r == bestRank && c.lastUsable.After(best.lastUsable) {
+			best, bestRank = c, r
 		}
 	}
 	return best
 }
 
-func releaseOf(id uint64, cut bool) sig.Message {
+// releaseMessage returns the release of a call; cut says that it was cut off.
+func releaseMessage(id uint64, cut bool) sig.Message {
 	cause := sig.CauseNormal
 	if cut {
 		cause = sig.CauseTemporaryFailure
@@ -250,5 +257,5 @@
 	return sig.WithCause(sig.Release, id, cause)
 }
 
-// callName is a call's id as logs have it.
-func callName(id uint64) string { return fmt.Sprintf("%016x", id) }
+// formatCallID formats the id of a call for the log.
+func formatCallID(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/sig/sig.go
+++ b/internal/sig/sig.go
@@ -1,5 +1,5 @@
-// Package sig reads and writes the platform's binary signalling messages. It
-// knows the form of a message and nothing of what becomes of it.
+// Package sig encodes and decodes the platform's binary signalling messages. It
+// knows their format, not how they are processed.
 package sig
 
 import (
@@ -10,35 +10,35 @@
 	"iter"
 )
 
-// Type is the type of a message.
+// Type is a message type.
 type Type byte
 
-// The messages that the platform knows.
+// Message types of the platform.
 const (
 	SetUp      Type = 1
 	Progress   Type = 6
 	Answer     Type = 9
-	Release    Type = 12 // also a refusal, and with CauseNormal a set-up that is given up
-	ReleaseAck Type = 16
-	GroupState Type = 43
+	Release    Type = 12 // also refuses a set-up and, with CauseNormal, cancels one
+	ReleaseAck Type = 16 // acknowledges a release
+	GroupState Type = 43 // free circuits and size of a trunk group, and load of its processor
 	Test       Type = 52
 	TestResult Type = 53
 )
 
-// Codes of parameters.
+// Parameter codes.
 const (
 	ParamClass       byte = 180
-	ParamWait        byte = 183 // milliseconds, in decimal digits
+	ParamWait        byte = 183 // how long the caller waits: milliseconds, in decimal digits
 	ParamTenant      byte = 186
 	ParamNumber      byte = 192
-	ParamAttributes  byte = 195
-	ParamCauseDetail byte = 201
-	ParamReport      byte = 207 // figures of a group's state
+	ParamAttributes  byte = 195 // attributes of a set-up, as name:value pairs
+	ParamCauseDetail byte = 201 // text that refines the cause of a release
+	ParamReport      byte = 207 // state of a trunk group, as name:value pairs
 	ParamCause       byte = 222 // one byte
 	ParamDescription byte = 225
 )
 
-// Causes of a release, as Q.850 numbers them.
+// Causes of a release, with the numbers of Q.850.
 const (
 	CauseNormal              byte = 16
 	CauseBusy                byte = 17
@@ -51,12 +51,12 @@
 	CauseProtocolError       byte = 111
 )
 
-// MaxLength is the most that a message may hold, its length field included.
+// MaxLength is the maximum length of a message in bytes, including its length field.
 const MaxLength = 16 << 10
 
-const header = 1 + 8 // type and call, which the length counts
+const headerLength = 1 + 8 // type and call ID, which the length field counts
 
-// ErrMalformed is wrapped by every error about what a message holds.
+// ErrMalformed is wrapped by every error about the contents of a message.
 var ErrMalformed = errors.New("malformed message")
 
 // Param is one parameter of a message.
@@ -65,14 +65,14 @@
 	Value []byte
 }
 
-// Message is one message. The values of its parameters share one buffer.
+// Message is a decoded message. The values of its parameters share one buffer.
 type Message struct {
 	Type   Type
 	Call   uint64
 	Params []Param
 }
 
-// Get returns the first parameter with the code, or nil.
+// Get returns the value of the first parameter with the given code, or nil.
 func (m *Message) Get(code byte) []byte {
 	for _, p := range m.Params {
 		if p.Code == code {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Cause returns the cause of a release or a test's result, 0 if it has none.
+// Cause returns the cause of a release or the result of a test, or 0 if there is none.
 func (m *Message) Cause() byte {
 	if v := m.Get(ParamCause); len(v) == 1 {
 		return v[0]
@@ -90,43 +90,45 @@
 	return 0
 }
 
-// WithCause is a message whose only parameter is a cause.
+// WithCause returns a message whose only parameter is a cause.
 func WithCause(t Type, call uint64, cause byte) Message {
 	return Message{Type: t, Call: call, Params: []Param{{ParamCause, []byte{cause}}}}
 }
 
-// Append adds the message's bytes to b.
+// Append appends the encoded message to b. It returns b unchanged and an error if the
+// message or one of its parameters is longer than MaxLength.
 func (m *Message) Append(b []byte) ([]byte, error) {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, byte(m.Type))
 	b = binary.BigEndian.AppendUint64(b, m.Call)
 	for _, p := range m.Params {
 		if len(p.Value) > MaxLength {
-			return b[:at], fmt.Errorf("parameter %d of %d bytes is too long", p.Code, len(p.Value))
+			return b[:start], fmt.Errorf("parameter %d is too long: %d bytes", p.Code, len(p.Value))
 		}
 		b = append(b, p.Code)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(p.Value)))
 		b = append(b, p.Value...)
 	}
-	n := len(b) - at
+	n := len(b) - start
 	if n > MaxLength {
-		return b[:at], fmt.Errorf("message of %d bytes is too long", n)
+		return b[:start], fmt.Errorf("message is too long: %d bytes", n)
 	}
-	binary.BigEndian.PutUint16(b[at:], uint16(n-2))
+	binary.BigEndian.PutUint16(b[start:], uint16(n-2))
 	return b, nil
 }
 
-// Read reads one message. A clean end of the input is io.EOF; one inside a
-// message is io.ErrUnexpectedEOF.
+// Read reads one message. It returns io.EOF if the input ends before a message,
+// io.ErrUnexpectedEOF if it ends within one, and an error that wraps ErrMalformed
+// if the contents are invalid.
 func Read(r io.Reader) (Message, error) {
 	var m Message
-	var head [2]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var length [2]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return m, err
 	}
-	n := int(binary.BigEndian.Uint16(head[:]))
-	if n < header || n > MaxLength-2 {
-		return m, fmt.Errorf("%w: a length of %d", ErrMalformed, n)
+	n := int(binary.BigEndian.Uint16(length[:]))
+	if n < headerLength || n > MaxLength-2 {
+		return m, fmt.Errorf("%w: invalid length %d", ErrMalformed, n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -136,13 +138,13 @@
 		return m, err
 	}
 	m.Type, m.Call = Type(b[0]), binary.BigEndian.Uint64(b[1:])
-	for b = b[header:]; len(b) > 0; {
+	for b = b[headerLength:]; len(b) > 0; {
 		if len(b) < 3 {
-			return m, fmt.Errorf("%w: a parameter is cut short", ErrMalformed)
+			return m, fmt.Errorf("%w: truncated parameter", ErrMalformed)
 		}
 		n := int(binary.BigEndian.Uint16(b[1:]))
 		if len(b) < 3+n {
-			return m, fmt.Errorf("%w: parameter %d is cut short", ErrMalformed, b[0])
+			return m, fmt.Errorf("%w: parameter %d is truncated", ErrMalformed, b[0])
 		}
 		m.Params = append(m.Params, Param{b[0], b[3 : 3+n : 3+n]})
 		b = b[3+n:]
@@ -150,14 +152,15 @@
 	return m, nil
 }
 
-// Pairs walks the name:value pairs of parameter 195.
+// Pairs iterates over the names and values of a text of the form "name:value;name:value",
+// such as the values of ParamAttributes (195) and ParamReport.
 func Pairs(v []byte) iter.Seq2[string, string] {
 	return func(yield func(string, string) bool) {
 		for len(v) > 0 {
 			var pair []byte
 			pair, v = cut(v, ';')
-			name, val := cut(pair, ':')
-			if !yield(string(name), string(val)) {
+			name, value := cut(pair, ':')
+			if !yield(string(name), string(value)) {
 				return
 			}
 		}
--- a/internal/sig/sig_test.go
+++ b/internal/sig/sig_test.go
@@ -15,19 +15,19 @@
 		want        Message
 		err         error
 	}{
-		{"no parameter", "\x00\x09\x10\x00\x00\x00\x00\x00\x00\x00\xa1", Message{Type: ReleaseAck, Call: 0xa1}, nil},
-		{"a cause", "\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00\x01\x22",
+		{"no parameters", "\x00\x09\x10\x00\x00\x00\x00\x00\x00\x00\xa1", Message{Type: ReleaseAck, Call: 0xa1}, nil},
+		{"one cause", "\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00\x01\x22",
 			Message{Release, 0xa1, []Param{{ParamCause, []byte{34}}}}, nil},
-		{"an empty value", "\x00\x0c\x09\x00\x00\x00\x00\x00\x00\x00\xa1\xe1\x00\x00",
+		{"empty value", "\x00\x0c\x09\x00\x00\x00\x00\x00\x00\x00\xa1\xe1\x00\x00",
 			Message{Answer, 0xa1, []Param{{ParamDescription, []byte{}}}}, nil},
-		{"nothing", "", Message{}, io.EOF},
-		{"half a length", "\x00", Message{}, io.ErrUnexpectedEOF},
-		{"half a message", "\x00\x09\x10", Message{}, io.ErrUnexpectedEOF},
-		{"only a length", "\x00\x09", Message{}, io.ErrUnexpectedEOF},
-		{"too short to be one", "\x00\x08\x10\x00\x00\x00\x00\x00\x00\x00", Message{}, ErrMalformed},
-		{"too long", "\x40\x00", Message{}, ErrMalformed},
-		{"half a parameter", "\x00\x0b\x10\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00", Message{}, ErrMalformed},
-		{"a value past the end", "\x00\x0c\x10\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00\x01", Message{}, ErrMalformed},
+		{"empty input", "", Message{}, io.EOF},
+		{"truncated length", "\x00", Message{}, io.ErrUnexpectedEOF},
+		{"truncated header", "\x00\x09\x10", Message{}, io.ErrUnexpectedEOF},
+		{"length without a message", "\x00\x09", Message{}, io.ErrUnexpectedEOF},
+		{"length shorter than the header", "\x00\x08\x10\x00\x00\x00\x00\x00\x00\x00", Message{}, ErrMalformed},
+		{"length above the maximum", "\x40\x00", Message{}, ErrMalformed},
+		{"truncated parameter header", "\x00\x0b\x10\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00", Message{}, ErrMalformed},
+		{"truncated parameter value", "\x00\x0c\x10\x00\x00\x00\x00\x00\x00\x00\xa1\xde\x00\x01", Message{}, ErrMalformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := Read(bytes.NewReader([]byte(c.bytes)))
@@ -42,17 +42,17 @@
 			}
 			b, err := got.Append(nil)
 			if diff := cmp.Diff([]byte(c.bytes), b); err != nil || diff != "" {
-				t.Errorf("%v (-want +got)\n%s", err, diff)
+				t.Errorf("Append: error %v (-want +got)\n%s", err, diff)
 			}
 		})
 	}
 }
 
-func TestAppendRefusesWhatIsTooLong(t *testing.T) {
+func TestAppendRejectsTooLongMessages(t *testing.T) {
 	for _, n := range []int{MaxLength, 70000} {
 		m := Message{Type: Answer, Params: []Param{{ParamDescription, make([]byte, n)}}}
 		if b, err := m.Append([]byte("kept")); err == nil || string(b) != "kept" {
-			t.Errorf("%d bytes: %v, and %d bytes written", n, err, len(b))
+			t.Errorf("%d bytes: error %v, buffer of %d bytes; want an error and the buffer unchanged", n, err, len(b))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 			return
 		}
 		if again, err := m.Append(nil); err != nil || !bytes.Equal(again, b[:len(again)]) {
-			t.Errorf("%x reads and writes as %x, %v", b, again, err)
+			t.Errorf("%x was encoded again as %x, error %v", b, again, err)
 		}
 	})
 }
