--- a/internal/platform/switchconn.go
+++ b/internal/platform/switchconn.go
@@ -74,9 +74,9 @@
 		}
 	case sig.Release:
 		ev.Kind = trunk.End
-		ev.End, ev.Note = releaseOutcome(&m)
+		ev.End, ev.Warning = releaseOutcome(&m)
 	case sig.GroupState:
-		if ev.Report, ev.Note = parseReport(&m); ev.Note == nil {
+		if ev.Report, ev.Warning = parseReport(&m); ev.Warning == nil {
 			ev.Kind = trunk.Group
 		}
 	case sig.Test:
