--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -72,7 +72,7 @@
 
 // Events holds decoded and validated events of the command channel.
 type Events struct {
-	cursor int64
+	cursor int64 // number of the last event, including commands of other types
 	lists  []numberedList
 }
 
--- a/internal/platform/rules.go
+++ b/internal/platform/rules.go
@@ -15,14 +15,14 @@
 // breaks them, because a switch closes its connection, with all calls on it, if it cannot parse
 // a message.
 type SetUpRules struct {
-	Classes   map[string]Class
-	Tenants   map[string]bool // nil: any
-	DestCount int             // destinations are numbered from 0 to DestCount-1
+	Classes   map[string]Class // by name
+	Tenants   map[string]bool  // nil: any
+	DestCount int              // destinations are numbered from 0 to DestCount-1
 }
 
 // Class holds the rules for the set-ups of a class.
 type Class struct {
-	Index   int
+	Index   int           // in the classes of the settings
 	Width   int           // circuits per call; 0: any up to maxWidth
 	MaxWait time.Duration // a longer wait requested by a caller is reduced to this
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -14,7 +14,10 @@
 
 // CallHandler processes the calls that a server accepts; *core.Core implements it.
 type CallHandler interface {
-	Offer(s *core.SetUp, from core.Caller) error
+	// Offer accepts a set-up and later gives caller its final answer. If it returns an error,
+	// such as core.ErrBusy, the server refuses the set-up.
+	Offer(setUp *core.SetUp, caller core.Caller) error
+	// HangUp cancels a set-up or hangs up an established call. Unknown ids are allowed.
 	HangUp(id uint64)
 }
 
@@ -35,7 +38,7 @@
 type Server struct {
 	Handler       CallHandler
 	Rules         SetUpRules
-	MaxConns      int
+	MaxConns      int // connections from callers
 	MaxOpenSetUps int // set-ups without a final answer, on all connections
 	Log           *slog.Logger
 	Metrics       *metrics.Set
@@ -107,8 +110,8 @@
 
 // evictionCandidate returns a connection to close in favour of a new one, or nil. Only
 // connections without an open set-up qualify: first the oldest one that has sent nothing
-// usable, else the one that has been idle for longest. A client that sent one request may keep
-// its connection open for ever; the protocol allows closing it, and the client repeats a
+// usable, else the one that has been idle longest. A client that sent one request may keep
+// its connection open forever; the protocol allows closing it, and the client repeats a
 // set-up that crosses the close. A new connection that has sent nothing yet may be about to,
 // so it ranks with the idle ones for the first tenth of firstRequestTimeout.
 func (s *Server) evictionCandidate() *callerConn {
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -29,8 +29,8 @@
 // all set-ups of a test.
 type offerRecorder chan core.Caller
 
-func (o offerRecorder) Offer(_ *core.SetUp, from core.Caller) error { o <- from; return nil }
-func (o offerRecorder) HangUp(uint64)                               {}
+func (o offerRecorder) Offer(_ *core.SetUp, caller core.Caller) error { o <- caller; return nil }
+func (o offerRecorder) HangUp(uint64)                                 {}
 
 // dialNewServer starts a server with the given timeouts and returns a connection to it.
 func dialNewServer(t *testing.T, firstRequestTimeout, messageTimeout time.Duration) net.Conn {
@@ -195,7 +195,7 @@
 	server.WaitForReleases(t.Context())
 }
 
-// Guards against callers that hold a file descriptor for ever: silent ones, and those that never
+// Guards against callers that hold a file descriptor forever: silent ones, and those that never
 // finish a message.
 func TestSilentCallersAreClosed(t *testing.T) {
 	for name, tc := range map[string]struct {
--- a/internal/platform/switchconn.go
+++ b/internal/platform/switchconn.go
@@ -90,12 +90,12 @@
 
 // SetUp sends a set-up with its class, number and description unchanged, and the time left until
 // the deadline as its wait (at least 1 ms).
-func (c *switchConn) SetUp(s *core.SetUp, deadline time.Time) error {
-	return c.send(sig.Message{Type: sig.SetUp, Call: s.ID, Params: []sig.Param{
-		{Code: sig.ParamClass, Value: []byte(s.ClassName)},
+func (c *switchConn) SetUp(setUp *core.SetUp, deadline time.Time) error {
+	return c.send(sig.Message{Type: sig.SetUp, Call: setUp.ID, Params: []sig.Param{
+		{Code: sig.ParamClass, Value: []byte(setUp.ClassName)},
 		{Code: sig.ParamWait, Value: strconv.AppendInt(nil, max(1, time.Until(deadline).Milliseconds()), 10)},
-		{Code: sig.ParamNumber, Value: []byte(s.Number)},
-		{Code: sig.ParamDescription, Value: s.Description},
+		{Code: sig.ParamNumber, Value: []byte(setUp.Number)},
+		{Code: sig.ParamDescription, Value: setUp.Description},
 	}})
 }
 
