--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -44,6 +44,7 @@
 	updated chan struct{} // closed and replaced when an event is added
 }
 
+// event is one command of the channel, in JSON.
 type event struct {
 	text        string
 	switches    []string // switches that the event marks as draining or removed
@@ -68,7 +69,7 @@
 	old := d.streams[proxy]
 	if old != nil {
 		s.events = old.events
-		go func() { // the old address sends no more events
+		go func() { // the old port stays open a little longer; requests pending on it get no new events
 			time.Sleep(1500 * time.Millisecond)
 			old.port.Close()
 		}()
@@ -135,6 +136,7 @@
 	}
 }
 
+// notify wakes the requests that wait for events.
 func (s *stream) notify() {
 	close(s.updated)
 	s.updated = make(chan struct{})
@@ -151,6 +153,7 @@
 	return fmt.Sprintf(`{"cursor":%d,"cmds":[%s]}`, len(s.events), strings.Join(texts, ","))
 }
 
+// eventText returns the JSON text of an event with entries of the list, as sent to a proxy.
 func eventText(number int, complete bool, proxy string, members []Member) string {
 	var texts []string
 	for _, m := range members {
@@ -250,6 +253,7 @@
 	return failed
 }
 
+// interrupt applies a fault to all ports and marks discovery as unreachable.
 func (d *Discovery) interrupt(do func(p *Port) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
