--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -82,9 +82,9 @@
 	Reread func() (*config.Platform, error)
 
 	core    *core.Core
-	front   *platform.Front
-	channel *platform.Channel
-	api     *callapi.Front
+	front   *platform.Server
+	channel *platform.CommandChannel
+	api     *callapi.Server
 	tenants *tenant.Registry
 	planner *planner.Loop // nil: off
 	reload  sync.Mutex
@@ -287,14 +287,14 @@
 	p.gauges()
 	g.Go(func() error { return p.logMetrics(life) })
 	if pf := p.platform; pf != nil {
-		p.front.Calls = p.core
-		known, err := platform.ReadEvents(pf.Known)
+		p.front.Handler = p.core
+		known, err := platform.ParseEvents(pf.Known)
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
-		p.channel.Missing = p.core.ProbeEarly
-		p.channel.Take(known)
+		p.channel = platform.NewCommandChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
+		p.channel.OnPollFailure = p.core.ProbeEarly
+		p.channel.Apply(known)
 		ln, err := platform.Listen(life, pf.Listen)
 		if err != nil {
 			return stop, fmt.Errorf("key listen: %w", err)
@@ -309,14 +309,14 @@
 
 	if sv := p.service; sv != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Front{Calls: p.core, Tenants: p.tenants, Log: p.log, Keep: sv.KeepAnswers,
-			MaxKept: sv.MaxKept, MaxSize: maxKeptBytes, Dests: maxPools, Classes: map[string]callapi.Class{}}
+		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
+			MaxStoredCalls: sv.MaxKept, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.Bounds()
-			p.api.MaxKept, p.api.MaxSize = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
 		}
 		for name, i := range set.Classes {
-			p.api.Classes[name] = callapi.Class{Place: i, Width: set.Brain.Classes[i].Width}
+			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Brain.Classes[i].Width}
 		}
 		if err := p.loadInventory(); err != nil {
 			return stop, err
@@ -350,8 +350,8 @@
 	if pf := p.platform; pf != nil {
 		set, opt.Seed = &pf.Settings, pf.Seed
 		bounds := pf.Bounds()
-		p.front = platform.NewFront(form(set), bounds.Conns, bounds.Open, p.log, p.count)
-		opt.OnUnknownRelease, opt.MaxCalls = p.front.UnknownRelease, bounds.Calls
+		p.front = platform.NewServer(form(set), bounds.Conns, bounds.Open, p.log, p.count)
+		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.Calls
 	} else {
 		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
@@ -379,10 +379,10 @@
 }
 
 // form is what set-ups on the platform must look like by the settings.
-func form(set *config.Settings) platform.Form {
-	f := platform.Form{Classes: map[string]platform.Class{}, Tenants: set.Tenants, Dests: dests(set)}
+func form(set *config.Settings) platform.SetUpRules {
+	f := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: set.Tenants, DestCount: dests(set)}
 	for name, i := range set.Classes {
-		k := platform.Class{Place: i, MaxWait: set.Brain.Classes[i].Deadline}
+		k := platform.Class{Index: i, MaxWait: set.Brain.Classes[i].Deadline}
 		if set.Widths {
 			k.Width = set.Brain.Classes[i].Width
 		}
@@ -427,7 +427,7 @@
 		if pf, err = p.Reread(); err != nil {
 			return err
 		}
-		if known, err = platform.ReadEvents(pf.Known); err != nil {
+		if known, err = platform.ParseEvents(pf.Known); err != nil {
 			return fmt.Errorf("key known: %w", err)
 		}
 	}
@@ -486,5 +486,5 @@
 
 func (p *Proxy) status() admin.Status {
 	unanswered, standing := p.core.Counts()
-	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Standing: standing}
+	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Established: standing}
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -196,7 +196,7 @@
 	m := sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 		{Code: sig.ParamClass, Value: []byte(config.Class)}, {Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
 		{Code: sig.ParamTenant, Value: []byte(config.Tenant)}, {Code: sig.ParamNumber, Value: fmt.Appendf(nil, "%016x", id)},
-		{Code: sig.ParamFigures, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)},
+		{Code: sig.ParamAttributes, Value: fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)},
 		{Code: sig.ParamDescription, Value: fmt.Appendf(nil, "call %d", id)}}}
 	encoded, err := m.Append(nil)
 	if err != nil {
@@ -315,7 +315,7 @@
 			}
 			c.callEnded(m.Call)
 			if !c.Config.NoReleaseAcks {
-				go cc.send(sig.Message{Type: sig.Heard, Call: m.Call}) // in a goroutine, so that a blocked write does not stop reading
+				go cc.send(sig.Message{Type: sig.ReleaseAck, Call: m.Call}) // in a goroutine, so that a blocked write does not stop reading
 			}
 		}
 	}
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -78,7 +78,7 @@
 				case sig.Release:
 					r.handleRelease(exchange, to, m.Call)
 				case sig.Test:
-					conn.send(sig.WithCause(sig.Tested, m.Call, 1))
+					conn.send(sig.WithCause(sig.TestResult, m.Call, 1))
 				}
 			})
 		})
@@ -240,10 +240,10 @@
 	}
 }
 
-// parseFigures parses a set-up's description, which proxies pass on unchanged.
-func parseFigures(m *sig.Message) (values map[string]int) {
+// parseDescription parses a set-up's description, which proxies pass on unchanged.
+func parseDescription(m *sig.Message) (values map[string]int) {
 	values = map[string]int{}
-	for name, text := range sig.Figures(m.Get(sig.ParamDescription)) {
+	for name, text := range sig.Pairs(m.Get(sig.ParamDescription)) {
 		values[name], _ = strconv.Atoi(text)
 	}
 	return values
@@ -262,14 +262,14 @@
 func (r *Mesh) reportCircuits(end [2]int) {
 	if conns := r.switchConns[end]; len(conns) > 0 {
 		group := groupKey(end[0], end[1])
-		m := sig.Message{Type: sig.Group, Params: []sig.Param{{Code: sig.ParamReport, Value: fmt.Appendf(nil, "spare:%d;total:%d", r.freeCircuits[group], r.totalCircuits[group])}}}
+		m := sig.Message{Type: sig.GroupState, Params: []sig.Param{{Code: sig.ParamReport, Value: fmt.Appendf(nil, "spare:%d;total:%d", r.freeCircuits[group], r.totalCircuits[group])}}}
 		conns[len(conns)-1].send(m)
 	}
 }
 
 // handleSetUp handles a set-up that arrived at a switch. r.mu must be held.
 func (r *Mesh) handleSetUp(from, to int, conn *queuedConn, m sig.Message) {
-	values := parseFigures(&m)
+	values := parseDescription(&m)
 	k := legKey{from, to, m.Call}
 	for other := range r.cfg.Exchanges {
 		if l := r.legs[legKey{from, other, m.Call}]; l != nil {
@@ -278,8 +278,8 @@
 	}
 	r.counts["set-ups"]++
 	group := groupKey(from, to)
-	refuse := func(note string) {
-		conn.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamNote, Value: []byte(note)}}})
+	refuse := func(detail string) {
+		conn.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamCauseDetail, Value: []byte(detail)}}})
 	}
 	if r.freeCircuits[group] < values["width"] {
 		refuse("no_path")
@@ -337,7 +337,7 @@
 	r.occupy(groupKey(l.from, l.to), -l.width)
 	m := sig.WithCause(sig.Release, l.id, cause)
 	if cause == sig.CauseNoCircuit {
-		m.Params = append(m.Params, sig.Param{Code: sig.ParamNote, Value: []byte("sent_back")})
+		m.Params = append(m.Params, sig.Param{Code: sig.ParamCauseDetail, Value: []byte("sent_back")})
 	}
 	l.conn.send(m)
 }
@@ -364,14 +364,14 @@
 	id := r.lastCallID
 	now := time.Now()
 	r.calls[id] = &call{exchange: exchange, class: class, offeredAt: now, deadline: now.Add(wait), incomingLeg: incomingLeg}
-	figures := fmt.Sprintf("dest:%d;width:%d;via:-1", values["dest"], values["width"])
+	attributes := fmt.Sprintf("dest:%d;width:%d;via:-1", values["dest"], values["width"])
 	if incomingLeg != nil {
-		figures = fmt.Sprintf("dest:%d;width:%d;via:%d;transit:1", values["dest"], values["width"], incomingLeg.from)
+		attributes = fmt.Sprintf("dest:%d;width:%d;via:%d;transit:1", values["dest"], values["width"], incomingLeg.from)
 	}
 	r.callerConns[exchange].send(sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 		{Code: sig.ParamClass, Value: []byte(r.cfg.Classes[class].Name)}, {Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
 		{Code: sig.ParamTenant, Value: []byte("main-lot")}, {Code: sig.ParamNumber, Value: fmt.Appendf(nil, "%016x", id)},
-		{Code: sig.ParamFigures, Value: []byte(figures)}, {Code: sig.ParamDescription, Value: description}}})
+		{Code: sig.ParamAttributes, Value: []byte(attributes)}, {Code: sig.ParamDescription, Value: description}}})
 	return id
 }
 
@@ -453,12 +453,12 @@
 				}
 				time.Sleep(time.Until(next))
 				class := r.cfg.Classes[flow.Class]
-				figures := map[string]int{"dest": flow.To, "width": class.Width, "class": flow.Class}
+				attributes := map[string]int{"dest": flow.To, "width": class.Width, "class": flow.Class}
 				description := fmt.Appendf(nil, "dest:%d;width:%d;class:%d;hold:%d", flow.To, class.Width, flow.Class, hold.Milliseconds())
 				wait := time.Duration(r.cfg.TryShare * float64(class.Deadline))
 				r.mu.Lock()
 				r.worth[0] += class.Worth
-				id := r.offerCall(flow.From, flow.Class, description, wait, nil, figures)
+				id := r.offerCall(flow.From, flow.Class, description, wait, nil, attributes)
 				r.mu.Unlock()
 				time.AfterFunc(wait+100*time.Millisecond, func() {
 					r.mu.Lock()
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -124,7 +124,7 @@
 		return false
 	}
 	reply, err := sig.Read(conn)
-	return err == nil && reply.Type == sig.Tested && reply.Cause() == 1
+	return err == nil && reply.Type == sig.TestResult && reply.Cause() == 1
 }
 
 // Signal sends a signal to the current incarnation; it is no error if that has exited.
