--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// parseFigures parses a set-up's description, which proxies pass on unchanged.
-func parseFigures(m *sig.Message) (values map[string]int) {
+// parseDescription parses a set-up's description, which proxies pass on unchanged.
+func parseDescription(m *sig.Message) (values map[string]int) {
 	values = map[string]int{}
 	for name, text := range sig.Pairs(m.Get(sig.ParamDescription)) {
 		values[name], _ = strconv.Atoi(text)
@@ -269,7 +269,7 @@
 
 // handleSetUp handles a set-up that arrived at a switch. r.mu must be held.
 func (r *Mesh) handleSetUp(from, to int, conn *queuedConn, m sig.Message) {
-	values := parseFigures(&m)
+	values := parseDescription(&m)
 	k := legKey{from, to, m.Call}
 	for other := range r.cfg.Exchanges {
 		if l := r.legs[legKey{from, other, m.Call}]; l != nil {
@@ -278,8 +278,8 @@
 	}
 	r.counts["set-ups"]++
 	group := groupKey(from, to)
-	refuse := func(note string) {
-		conn.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamCauseDetail, Value: []byte(note)}}})
+	refuse := func(detail string) {
+		conn.send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{{Code: sig.ParamCause, Value: []byte{sig.CauseNoCircuit}}, {Code: sig.ParamCauseDetail, Value: []byte(detail)}}})
 	}
 	if r.freeCircuits[group] < values["width"] {
 		refuse("no_path")
@@ -364,14 +364,14 @@
 	id := r.lastCallID
 	now := time.Now()
 	r.calls[id] = &call{exchange: exchange, class: class, offeredAt: now, deadline: now.Add(wait), incomingLeg: incomingLeg}
-	figures := fmt.Sprintf("dest:%d;width:%d;via:-1", values["dest"], values["width"])
+	attributes := fmt.Sprintf("dest:%d;width:%d;via:-1", values["dest"], values["width"])
 	if incomingLeg != nil {
-		figures = fmt.Sprintf("dest:%d;width:%d;via:%d;transit:1", values["dest"], values["width"], incomingLeg.from)
+		attributes = fmt.Sprintf("dest:%d;width:%d;via:%d;transit:1", values["dest"], values["width"], incomingLeg.from)
 	}
 	r.callerConns[exchange].send(sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 		{Code: sig.ParamClass, Value: []byte(r.cfg.Classes[class].Name)}, {Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
 		{Code: sig.ParamTenant, Value: []byte("main-lot")}, {Code: sig.ParamNumber, Value: fmt.Appendf(nil, "%016x", id)},
-		{Code: sig.ParamAttributes, Value: []byte(figures)}, {Code: sig.ParamDescription, Value: description}}})
+		{Code: sig.ParamAttributes, Value: []byte(attributes)}, {Code: sig.ParamDescription, Value: description}}})
 	return id
 }
 
@@ -453,12 +453,12 @@
 				}
 				time.Sleep(time.Until(next))
 				class := r.cfg.Classes[flow.Class]
-				figures := map[string]int{"dest": flow.To, "width": class.Width, "class": flow.Class}
+				attributes := map[string]int{"dest": flow.To, "width": class.Width, "class": flow.Class}
 				description := fmt.Appendf(nil, "dest:%d;width:%d;class:%d;hold:%d", flow.To, class.Width, flow.Class, hold.Milliseconds())
 				wait := time.Duration(r.cfg.TryShare * float64(class.Deadline))
 				r.mu.Lock()
 				r.worth[0] += class.Worth
-				id := r.offerCall(flow.From, flow.Class, description, wait, nil, figures)
+				id := r.offerCall(flow.From, flow.Class, description, wait, nil, attributes)
 				r.mu.Unlock()
 				time.AfterFunc(wait+100*time.Millisecond, func() {
 					r.mu.Lock()
