--- a/cmd/violetspan/run.go
+++ b/cmd/violetspan/run.go
@@ -52,7 +52,7 @@
 		}
 		log = log.With("proxy", pf.Name)
 		// Collect garbage harder well before the platform would kill for memory.
-		debug.SetMemoryLimit(pf.Bounds().Soft)
+		debug.SetMemoryLimit(pf.ResourceLimits().SoftMemoryBytes)
 	}
 	if service != "" {
 		if sv, err = config.LoadService(service, os.Getenv); err != nil {
@@ -61,7 +61,7 @@
 	}
 	p, err := proxy.New(pf, sv, log)
 	if err == nil && pf != nil {
-		p.Reread = func() (*config.Platform, error) { return config.FromEnv(os.Getenv) }
+		p.ReadConfig = func() (*config.Platform, error) { return config.FromEnv(os.Getenv) }
 	}
 	return p, err
 }
--- a/internal/cluster/pki.go
+++ b/internal/cluster/pki.go
@@ -260,7 +260,7 @@
 	for _, name := range []string{FileCACert, FileCert, FileKey, FileRevoked} {
 		path := filepath.Join(k.dir, name)
 		if st, err := os.Stat(path); err == nil {
-			b, err := strict.Read(path, maxKeyFile)
+			b, err := strict.ReadFile(path, maxKeyFile)
 			_, _ = fmt.Fprint(sum, name, st.Mode(), len(b), err) // a hash takes every write
 			_, _ = sum.Write(b)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,31 +28,31 @@
 
 // Platform is what the platform tells a signalling proxy at its start.
 type Platform struct {
-	Name     string
-	Listen   string
-	Seed     uint64
-	Sockets  int
-	MemoryMB int
-	Channel  string // address of the command channel
-	Known    []byte // its events up to the start, in the channel's own form
-	Settings Settings
+	Name        string
+	Listen      string
+	Seed        uint64
+	Sockets     int
+	MemoryMB    int
+	ChannelAddr string // address of the command channel
+	KnownEvents []byte // its events up to the start, in the channel's own form
+	Settings    Settings
 }
 
 // Settings are the module's settings and what the fronts need of them.
 type Settings struct {
-	Brain       routing.Settings
+	Routing     routing.Settings
 	Classes     map[string]int  // places in Brain.Classes
-	Widths      bool            // each class says how many circuits its calls take
+	HasWidths   bool            // each class says how many circuits its calls take
 	Tenants     map[string]bool // nil: none are listed
 	DialTimeout time.Duration
-	OpenCap     int
+	MaxCalls    int
 }
 
-// Silence is how long a switch that has a set-up may say nothing at all: half of
+// SilenceTimeout is how long a switch that has a set-up may say nothing at all: half of
 // the shortest goal time, as the module's mark for delays.
-func (s *Settings) Silence() time.Duration {
-	least := s.Brain.Classes[0].GoalTime
-	for _, k := range s.Brain.Classes {
+func (s *Settings) SilenceTimeout() time.Duration {
+	least := s.Routing.Classes[0].GoalTime
+	for _, k := range s.Routing.Classes {
 		least = min(least, k.GoalTime)
 	}
 	return least / 2
@@ -103,12 +103,12 @@
 		return nil, err
 	}
 	p := &Platform{
-		Name:     r.text("name", ""),
-		Listen:   r.address("listen"),
-		Channel:  r.address("channel"),
-		Sockets:  r.whole("limits.sockets", 1024, minSockets, 1<<24),
-		MemoryMB: r.whole("limits.memory_mb", 192, 16, 1<<24),
-		Settings: r.settings("settings."),
+		Name:        r.text("name", ""),
+		Listen:      r.address("listen"),
+		ChannelAddr: r.address("channel"),
+		Sockets:     r.whole("limits.sockets", 1024, minSockets, 1<<24),
+		MemoryMB:    r.whole("limits.memory_mb", 192, 16, 1<<24),
+		Settings:    r.settings("settings."),
 	}
 	if seed := r.text("seed", "0"); r.err == nil {
 		if p.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
@@ -119,19 +119,19 @@
 	if known.ValueType() != jsoniter.ObjectValue {
 		r.fail("known", "an object is wanted")
 	} else {
-		p.Known = []byte(known.ToString())
+		p.KnownEvents = []byte(known.ToString())
 	}
 	return p, r.err
 }
 
-// Bounds are the parts of a platform's limits that its front and core may use.
-type Bounds struct {
-	Conns int // connections from callers
-	Open  int // set-ups open at once
-	Calls int // calls at once, those that stand included
+// ResourceLimits are the parts of a platform's limits that its front and core may use.
+type ResourceLimits struct {
+	MaxCallerConns int // connections from callers
+	MaxOpenSetUps  int // set-ups open at once
+	MaxCalls       int // calls at once, those that stand included
 	// What the call API keeps for its clients, where it serves beside the platform.
-	Kept, KeptBytes int
-	Soft            int64 // bytes of memory from which on garbage is collected at once
+	MaxStoredCalls, MaxStoredBytes int
+	SoftMemoryBytes                int64 // bytes of memory from which on garbage is collected at once
 }
 
 // Shares of the limits, and what one thing of a kind takes of the memory at most:
@@ -146,18 +146,18 @@
 	mostCalls = 8192
 )
 
-// Bounds works the bounds out. A quarter of the memory is for each of the three
+// ResourceLimits works the bounds out. A quarter of the memory is for each of the three
 // kinds, at most; the rest is for all else, half of it for what the call API keeps.
-func (p *Platform) Bounds() Bounds {
+func (p *Platform) ResourceLimits() ResourceLimits {
 	quarter := p.MemoryMB << 20 / 4
-	calls := min(p.Settings.OpenCap, mostCalls, quarter/callBytes)
-	return Bounds{Conns: min(p.Sockets/2, quarter/connBytes), Calls: calls, Open: min(calls, quarter/openBytes),
-		Kept: quarter / 2 / keptBytes, KeptBytes: quarter / 2, Soft: int64(p.MemoryMB) << 20 / 4 * 3}
+	calls := min(p.Settings.MaxCalls, mostCalls, quarter/callBytes)
+	return ResourceLimits{MaxCallerConns: min(p.Sockets/2, quarter/connBytes), MaxCalls: calls, MaxOpenSetUps: min(calls, quarter/openBytes),
+		MaxStoredCalls: quarter / 2 / keptBytes, MaxStoredBytes: quarter / 2, SoftMemoryBytes: int64(p.MemoryMB) << 20 / 4 * 3}
 }
 
-// Fixed names the first key in which a configuration read later differs and
+// RestartRequiredKey names the first key in which a configuration read later differs and
 // which a running proxy can't take over, or is empty.
-func (p *Platform) Fixed(later *Platform) string {
+func (p *Platform) RestartRequiredKey(later *Platform) string {
 	for _, k := range []struct {
 		key    string
 		differ bool
@@ -176,17 +176,17 @@
 // Service is where the hosted service listens and what it serves. Its file
 // stands under deploy/; without one the service is off.
 type Service struct {
-	CallListen     string
-	KeepAnswers    time.Duration
-	MaxKept        int
-	MaxConns       int
-	AdminListen    string // empty: off
-	AdminTokenHash string
-	TLSCert        string // paths of the certificate and its key; empty: no TLS
-	TLSKey         string
-	Inventory      string            // path of the inventory
-	Settings       *Settings         // nil: the platform's are used
-	Plan           *planner.Settings // nil: off
+	CallListen      string
+	AnswerRetention time.Duration
+	MaxStoredCalls  int
+	MaxConns        int
+	AdminListen     string // empty: off
+	AdminTokenHash  string
+	TLSCert         string // paths of the certificate and its key; empty: no TLS
+	TLSKey          string
+	Inventory       string            // path of the inventory
+	Settings        *Settings         // nil: the platform's are used
+	Plan            *planner.Settings // nil: off
 }
 
 // LoadService reads a service file. Paths in it are relative to its own place.
@@ -236,11 +236,11 @@
 	r.only("admin", "listen", "token_env")
 	r.only("tls", "cert", "key")
 	s := &Service{
-		CallListen:  r.address("callapi.listen"),
-		KeepAnswers: time.Duration(r.num("callapi.keep_answers_s", 60, 1, 3600) * float64(time.Second)),
-		MaxKept:     r.whole("callapi.max_kept_calls", 20000, 1, 1<<20),
-		MaxConns:    r.whole("callapi.max_connections", 256, 1, 1<<16),
-		Inventory:   r.wanted("inventory"),
+		CallListen:      r.address("callapi.listen"),
+		AnswerRetention: time.Duration(r.num("callapi.keep_answers_s", 60, 1, 3600) * float64(time.Second)),
+		MaxStoredCalls:  r.whole("callapi.max_kept_calls", 20000, 1, 1<<20),
+		MaxConns:        r.whole("callapi.max_connections", 256, 1, 1<<16),
+		Inventory:       r.wanted("inventory"),
 	}
 	if !missing(r.at("tls")) {
 		s.TLSCert, s.TLSKey = r.wanted("tls.cert"), r.wanted("tls.key")
@@ -416,7 +416,7 @@
 func (r *reader) settings(at string) Settings {
 	const most = math.MaxInt32
 	s := Settings{
-		Brain: routing.Settings{
+		Routing: routing.Settings{
 			OwnExchange:    r.whole(at+"extra.here", -1, -1, most),
 			FleetSize:      r.whole(at+"fleetSize", 1, 1, most),
 			PoolMode:       r.text(at+"extra.topology", "meshed") == "groups",
@@ -433,9 +433,9 @@
 		},
 		Classes:     map[string]int{},
 		DialTimeout: r.ms(at+"limits.dialTimeoutMs", 500),
-		OpenCap:     r.whole(at+"limits.openCap", 8192, 1, most),
+		MaxCalls:    r.whole(at+"limits.openCap", 8192, 1, most),
 	}
-	s.Widths = !missing(r.at(at + "extra.widths"))
+	s.HasWidths = !missing(r.at(at + "extra.widths"))
 	for i := range r.at(at + "realms").Size() {
 		if s.Tenants == nil {
 			s.Tenants = map[string]bool{}
@@ -469,7 +469,7 @@
 			r.fail(key+"name", fmt.Sprintf("%q is empty or stands twice", name))
 		}
 		s.Classes[name] = i
-		s.Brain.Classes = append(s.Brain.Classes, k)
+		s.Routing.Classes = append(s.Routing.Classes, k)
 	}
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,9 +29,9 @@
 		t.Fatal(err)
 	}
 	want := &Platform{Name: "n3", Listen: "127.0.0.1:5070", Seed: 0x8c1f30d27a5be964, Sockets: 4096, MemoryMB: 192,
-		Channel: "127.0.0.1:2379", Known: []byte(`{"cursor":3,"cmds":[]}`),
-		Settings: Settings{Classes: map[string]int{"space-check": 0}, Widths: true, Tenants: map[string]bool{"main-lot": true}, DialTimeout: 450 * time.Millisecond, OpenCap: 20000,
-			Brain: routing.Settings{OwnExchange: 2, FleetSize: 4, MaxAttempts: 5, ReleaseDelay: 500 * time.Millisecond,
+		ChannelAddr: "127.0.0.1:2379", KnownEvents: []byte(`{"cursor":3,"cmds":[]}`),
+		Settings: Settings{Classes: map[string]int{"space-check": 0}, HasWidths: true, Tenants: map[string]bool{"main-lot": true}, DialTimeout: 450 * time.Millisecond, MaxCalls: 20000,
+			Routing: routing.Settings{OwnExchange: 2, FleetSize: 4, MaxAttempts: 5, ReleaseDelay: 500 * time.Millisecond,
 				ResendInterval: 800 * time.Millisecond, WarmUpTime: 15 * time.Second, ColdCapacity: 0.29, OverloadFactor: 4,
 				OverloadWindow: 2 * time.Second, AnswerSlack: 20 * time.Millisecond, CancelAllowed: true,
 				Classes: []routing.Class{{GoalTime: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, Width: 4,
@@ -100,7 +100,7 @@
 		return map[string]string{"VIOLETSPAN_ADMIN_TOKEN": "0123456789abcdef", "SHORT": "short"}[name]
 	}
 	got, err := ParseService([]byte(service), env)
-	want := &Service{CallListen: "127.0.0.1:0", KeepAnswers: time.Minute, MaxKept: 20000, MaxConns: 256,
+	want := &Service{CallListen: "127.0.0.1:0", AnswerRetention: time.Minute, MaxStoredCalls: 20000, MaxConns: 256,
 		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken("0123456789abcdef"), Inventory: "inv.csv"}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Errorf("%v (-want +got)\n%s", err, diff)
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Inventory != "../../deploy/inventory.yaml" || s.Settings == nil || len(s.Settings.Brain.Classes) != 2 {
+	if s.Inventory != "../../deploy/inventory.yaml" || s.Settings == nil || len(s.Settings.Routing.Classes) != 2 {
 		t.Errorf("got %+v", s)
 	}
 }
@@ -160,13 +160,13 @@
 func TestBoundsFollowTheLimits(t *testing.T) {
 	for _, c := range []struct {
 		memory, sockets int
-		want            Bounds
+		want            ResourceLimits
 	}{
-		{32, 256, Bounds{Conns: 128, Open: 341, Calls: 1365, Kept: 4096, KeptBytes: 4 << 20, Soft: 24 << 20}},
-		{192, 1024, Bounds{Conns: 512, Open: 2048, Calls: 8192, Kept: 24576, KeptBytes: 24 << 20, Soft: 144 << 20}},
+		{32, 256, ResourceLimits{MaxCallerConns: 128, MaxOpenSetUps: 341, MaxCalls: 1365, MaxStoredCalls: 4096, MaxStoredBytes: 4 << 20, SoftMemoryBytes: 24 << 20}},
+		{192, 1024, ResourceLimits{MaxCallerConns: 512, MaxOpenSetUps: 2048, MaxCalls: 8192, MaxStoredCalls: 24576, MaxStoredBytes: 24 << 20, SoftMemoryBytes: 144 << 20}},
 	} {
-		p := Platform{MemoryMB: c.memory, Sockets: c.sockets, Settings: Settings{OpenCap: 20000}}
-		if diff := cmp.Diff(c.want, p.Bounds()); diff != "" {
+		p := Platform{MemoryMB: c.memory, Sockets: c.sockets, Settings: Settings{MaxCalls: 20000}}
+		if diff := cmp.Diff(c.want, p.ResourceLimits()); diff != "" {
 			t.Errorf("%d MB, %d descriptors (-want +got):\n%s", c.memory, c.sockets, diff)
 		}
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -56,7 +56,7 @@
 func Load(paths ...string) (*Inventory, error) {
 	r := newReader()
 	for _, path := range paths {
-		b, err := strict.Read(path, maxFile)
+		b, err := strict.ReadFile(path, maxFile)
 		if err != nil {
 			return nil, fmt.Errorf("inventory: %w", err)
 		}
@@ -169,7 +169,7 @@
 }
 
 func (r *reader) bad(line int, key, why string) error {
-	return strict.Bad(r.file, line, key, why)
+	return strict.KeyError(r.file, line, key, why)
 }
 
 // value is one key's text and where it stands.
@@ -453,7 +453,7 @@
 	if err != nil {
 		return err
 	}
-	return strict.Each(r.file, "children", children, func(group string, line int, g *yaml.Node) error {
+	return strict.ForEachEntry(r.file, "children", children, func(group string, line int, g *yaml.Node) error {
 		kind, ok := groups[group]
 		if !ok {
 			r.note(line, group, "none of switches, tenants, groups, classes and demands")
@@ -467,7 +467,7 @@
 func (r *reader) group(kind, group string, g *yaml.Node) error {
 	defaults := map[string]value{}
 	var hosts *yaml.Node
-	err := strict.Each(r.file, group, g, func(key string, line int, n *yaml.Node) (err error) {
+	err := strict.ForEachEntry(r.file, group, g, func(key string, line int, n *yaml.Node) (err error) {
 		switch key {
 		case "vars":
 			defaults, err = r.vars(n, "vars", nil)
@@ -481,7 +481,7 @@
 	if err != nil {
 		return err
 	}
-	return strict.Each(r.file, "hosts", hosts, func(id string, line int, n *yaml.Node) error {
+	return strict.ForEachEntry(r.file, "hosts", hosts, func(id string, line int, n *yaml.Node) error {
 		vals, err := r.vars(n, id, defaults)
 		if err != nil {
 			r.fault(line, err)
@@ -497,7 +497,7 @@
 	for key, v := range defaults {
 		vals[key] = v
 	}
-	err := strict.Each(r.file, name, n, func(key string, line int, v *yaml.Node) error {
+	err := strict.ForEachEntry(r.file, name, n, func(key string, line int, v *yaml.Node) error {
 		if v.Kind != yaml.ScalarNode {
 			return r.bad(line, key, "one value is wanted")
 		}
@@ -509,7 +509,7 @@
 
 // only returns the one key that a mapping may have.
 func (r *reader) only(n *yaml.Node, name, want string) (found *yaml.Node, err error) {
-	err = strict.Each(r.file, name, n, func(key string, line int, v *yaml.Node) error {
+	err = strict.ForEachEntry(r.file, name, n, func(key string, line int, v *yaml.Node) error {
 		if key != want {
 			return r.bad(line, key, "not known here; "+want+" is")
 		}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -44,7 +44,7 @@
 
 // Load reads an experiment's file.
 func Load(path string) (*Experiment, error) {
-	b, err := strict.Read(path, maxFile)
+	b, err := strict.ReadFile(path, maxFile)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
@@ -54,7 +54,7 @@
 // Parse reads an experiment in YAML. An error names file, line and key.
 func Parse(name string, b []byte) (*Experiment, error) {
 	bad := func(line int, key, format string, args ...any) error {
-		return strict.Bad(name, line, key, fmt.Sprintf(format, args...))
+		return strict.KeyError(name, line, key, fmt.Sprintf(format, args...))
 	}
 	e := Default()
 	root, err := strict.Document(name, b, "name")
@@ -77,7 +77,7 @@
 		*to = x
 		return nil
 	}
-	err = strict.Each(name, "name", root, func(key string, line int, v *yaml.Node) (err error) {
+	err = strict.ForEachEntry(name, "name", root, func(key string, line int, v *yaml.Node) (err error) {
 		switch key {
 		case "name":
 			if v.Kind != yaml.ScalarNode || v.Value == "" || strings.ContainsAny(v.Value, "/\\\n\x00") {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,10 +16,10 @@
 
 // Labels of Set.Dials: how a dial to a switch went.
 const (
-	DialUp      = "up"
-	DialRefused = "refused"
-	DialTimeout = "timeout"
-	DialOther   = "other"
+	DialConnected = "up"
+	DialRefused   = "refused"
+	DialTimeout   = "timeout"
+	DialOther     = "other"
 )
 
 // Labels of Set.SwitchConnsClosed: why a connection to a switch ended.
--- a/internal/planner/file.go
+++ b/internal/planner/file.go
@@ -71,7 +71,7 @@
 
 // Read reads and verifies a plan file. Errors name the file and, where possible, the key.
 func Read(path string) (*File, error) {
-	b, err := strict.Read(path, maxFileBytes)
+	b, err := strict.ReadFile(path, maxFileBytes)
 	if err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -78,8 +78,8 @@
 	count    *metrics.Set
 	phase    atomic.Int32
 
-	// Reread reads the platform's configuration anew for Reload; nil: it stays.
-	Reread func() (*config.Platform, error)
+	// ReadConfig reads the platform's configuration anew for Reload; nil: it stays.
+	ReadConfig func() (*config.Platform, error)
 
 	core    *core.Core
 	front   *platform.Server
@@ -168,7 +168,7 @@
 func (p *Proxy) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	set := p.settingsInForce()
-	for _, class := range set.Brain.Classes {
+	for _, class := range set.Routing.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return min(longest, killDeadline)
@@ -276,7 +276,7 @@
 	set, opt := p.settings(life)
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
-		ps.OwnExchange = set.Brain.OwnExchange
+		ps.OwnExchange = set.Routing.OwnExchange
 		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.ApplyPlan(e, until) })
 		opt.OnAccepted = func(s *core.SetUp) { p.planner.CountCall(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
@@ -288,11 +288,11 @@
 	g.Go(func() error { return p.logMetrics(life) })
 	if pf := p.platform; pf != nil {
 		p.front.Handler = p.core
-		known, err := platform.ParseEvents(pf.Known)
+		known, err := platform.ParseEvents(pf.KnownEvents)
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewCommandChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
+		p.channel = platform.NewCommandChannel(pf.ChannelAddr, p.core.ApplyList, p.log, p.count)
 		p.channel.OnPollFailure = p.core.ProbeEarly
 		p.channel.Apply(known)
 		ln, err := platform.Listen(life, pf.Listen)
@@ -309,14 +309,14 @@
 
 	if sv := p.service; sv != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
-			MaxStoredCalls: sv.MaxKept, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
+		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.AnswerRetention,
+			MaxStoredCalls: sv.MaxStoredCalls, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
-			b := p.platform.Bounds()
-			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
+			b := p.platform.ResourceLimits()
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxStoredCalls, b.MaxStoredCalls), min(maxKeptBytes, b.MaxStoredBytes)
 		}
 		for name, i := range set.Classes {
-			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Brain.Classes[i].Width}
+			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Routing.Classes[i].Width}
 		}
 		if err := p.loadInventory(); err != nil {
 			return stop, err
@@ -349,15 +349,15 @@
 	var set *config.Settings
 	if pf := p.platform; pf != nil {
 		set, opt.Seed = &pf.Settings, pf.Seed
-		bounds := pf.Bounds()
-		p.front = platform.NewServer(form(set), bounds.Conns, bounds.Open, p.log, p.count)
-		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.Calls
+		bounds := pf.ResourceLimits()
+		p.front = platform.NewServer(form(set), bounds.MaxCallerConns, bounds.MaxOpenSetUps, p.log, p.count)
+		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.MaxCalls
 	} else {
 		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
-		opt.MaxCalls = min(set.OpenCap, maxCalls)
+		opt.MaxCalls = min(set.MaxCalls, maxCalls)
 	}
-	opt.Settings = set.Brain
-	times := trunk.Timeouts{Dial: set.DialTimeout, Silence: set.Silence(), ReleaseBackoff: set.Brain.ReleaseDelay}
+	opt.Settings = set.Routing
+	times := trunk.Timeouts{Dial: set.DialTimeout, Silence: set.SilenceTimeout(), ReleaseBackoff: set.Routing.ReleaseDelay}
 	opt.OpenLink = func(m core.Switch, peer *core.SwitchHandler) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
 		if inventory.IsURL(m.Addr) {
@@ -372,19 +372,19 @@
 
 // dests is how many destinations there are by the settings.
 func dests(set *config.Settings) int {
-	if set.Brain.PoolMode {
+	if set.Routing.PoolMode {
 		return maxPools
 	}
-	return set.Brain.FleetSize
+	return set.Routing.FleetSize
 }
 
 // form is what set-ups on the platform must look like by the settings.
 func form(set *config.Settings) platform.SetUpRules {
 	f := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: set.Tenants, DestCount: dests(set)}
 	for name, i := range set.Classes {
-		k := platform.Class{Index: i, MaxWait: set.Brain.Classes[i].Deadline}
-		if set.Widths {
-			k.Width = set.Brain.Classes[i].Width
+		k := platform.Class{Index: i, MaxWait: set.Routing.Classes[i].Deadline}
+		if set.HasWidths {
+			k.Width = set.Routing.Classes[i].Width
 		}
 		f.Classes[name] = k
 	}
@@ -423,11 +423,11 @@
 	var pf *config.Platform
 	var known *platform.Events
 	var err error
-	if p.channel != nil && p.Reread != nil {
-		if pf, err = p.Reread(); err != nil {
+	if p.channel != nil && p.ReadConfig != nil {
+		if pf, err = p.ReadConfig(); err != nil {
 			return err
 		}
-		if known, err = platform.ParseEvents(pf.Known); err != nil {
+		if known, err = platform.ParseEvents(pf.KnownEvents); err != nil {
 			return fmt.Errorf("key known: %w", err)
 		}
 	}
@@ -437,9 +437,9 @@
 		}
 	}
 	if pf != nil {
-		p.channel.Move(pf.Channel, known)
-		p.log.Info("configuration reloaded", "channel", pf.Channel)
-		if key := p.platform.Fixed(pf); key != "" {
+		p.channel.Move(pf.ChannelAddr, known)
+		p.log.Info("configuration reloaded", "channel", pf.ChannelAddr)
+		if key := p.platform.RestartRequiredKey(pf); key != "" {
 			p.log.Warn("a changed key counts from the next start on", "key", key)
 		}
 	}
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sv := &config.Service{CallListen: "127.0.0.1:0", KeepAnswers: time.Minute, MaxKept: 1000, MaxConns: 50, Inventory: inv,
+	sv := &config.Service{CallListen: "127.0.0.1:0", AnswerRetention: time.Minute, MaxStoredCalls: 1000, MaxConns: 50, Inventory: inv,
 		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken(testToken)}
 	change(sv)
 	s.run(pf, sv)
@@ -191,7 +191,7 @@
 		s.t.Fatal(err)
 	}
 	s.hup = make(chan os.Signal)
-	s.p.Reread = func() (*config.Platform, error) { return config.Parse(*s.file.Load()) }
+	s.p.ReadConfig = func() (*config.Platform, error) { return config.Parse(*s.file.Load()) }
 	ctx, term := context.WithCancel(context.Background())
 	s.term, s.done = term, make(chan error, 1)
 	ready := make(chan struct{})
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -12,8 +12,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Read returns a file's content, or an error if it holds more than most bytes.
-func Read(path string, most int) ([]byte, error) {
+// ReadFile returns a file's content, or an error if it holds more than most bytes.
+func ReadFile(path string, most int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -21,13 +21,13 @@
 	defer f.Close()
 	b, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
 	if err == nil && len(b) > most {
-		err = Bad(path, 1, "file", fmt.Sprintf("longer than %d bytes", most))
+		err = KeyError(path, 1, "file", fmt.Sprintf("longer than %d bytes", most))
 	}
 	return b, err
 }
 
-// Bad is the error of one key.
-func Bad(file string, line int, key, why string) error {
+// KeyError is the error of one key.
+func KeyError(file string, line int, key, why string) error {
 	return fmt.Errorf("%s:%d: key %s: %s", file, max(1, line), key, why)
 }
 
@@ -37,30 +37,30 @@
 	dec := yaml.NewDecoder(bytes.NewReader(b))
 	var doc, more yaml.Node
 	if err := dec.Decode(&doc); errors.Is(err, io.EOF) {
-		return nil, Bad(file, 1, root, "missing")
+		return nil, KeyError(file, 1, root, "missing")
 	} else if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if err := dec.Decode(&more); !errors.Is(err, io.EOF) {
-		return nil, Bad(file, more.Line, root, "one document is wanted")
+		return nil, KeyError(file, more.Line, root, "one document is wanted")
 	}
 	return doc.Content[0], nil
 }
 
-// Each walks a mapping, whose key is name; an empty node is an empty one, and an alias
+// ForEachEntry walks a mapping, whose key is name; an empty node is an empty one, and an alias
 // is what it stands for. line is that of the key.
-func Each(file, name string, n *yaml.Node, do func(key string, line int, v *yaml.Node) error) error {
+func ForEachEntry(file, name string, n *yaml.Node, do func(key string, line int, v *yaml.Node) error) error {
 	if n == nil || n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
 		return nil
 	}
 	if n.Kind != yaml.MappingNode {
-		return Bad(file, n.Line, name, "a mapping is wanted")
+		return KeyError(file, n.Line, name, "a mapping is wanted")
 	}
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, v := n.Content[i], n.Content[i+1]
 		if key.Kind != yaml.ScalarNode || seen[key.Value] {
-			return Bad(file, key.Line, key.Value, "no plain key, or one that stands twice")
+			return KeyError(file, key.Line, key.Value, "no plain key, or one that stands twice")
 		}
 		seen[key.Value] = true
 		if v.Kind == yaml.AliasNode {
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -92,7 +92,7 @@
 func dialLabel(err error) string {
 	switch {
 	case err == nil:
-		return metrics.DialUp
+		return metrics.DialConnected
 	case isRefused(err):
 		return metrics.DialRefused
 	case isUnanswered(err):
