--- a/cmd/violetspan/cluster.go
+++ b/cmd/violetspan/cluster.go
@@ -8,15 +8,15 @@
 )
 
 type clusterCmd struct {
-	Init clusterInitCmd `cmd:"" help:"Make an installation's authority, and member 1's key and certificate."`
-	Join clusterJoinCmd `cmd:"" help:"Make a member's key and certificate, or renew them; the authority's key is needed."`
-	CA   clusterCACmd   `cmd:"" name:"ca" help:"Look at identities, and revoke them."`
+	Init clusterInitCmd `cmd:"" help:"Create an installation's certificate authority, and the key and certificate of member 1."`
+	Join clusterJoinCmd `cmd:"" help:"Issue or renew a member's key and certificate; requires the authority's key."`
+	CA   clusterCACmd   `cmd:"" name:"ca" help:"Show and revoke identities."`
 }
 
 type clusterInitCmd struct {
 	Installation string `arg:"" help:"Name of the installation: letters and digits."`
-	CA           string `help:"Folder of the authority; keep it off the serving machines." required:"" type:"path" placeholder:"DIR"`
-	Dir          string `help:"Folder of member 1's files." required:"" type:"path" placeholder:"DIR"`
+	CA           string `help:"Directory of the certificate authority; keep it off the serving machines." required:"" type:"path" placeholder:"DIR"`
+	Dir          string `help:"Directory of member 1's files." required:"" type:"path" placeholder:"DIR"`
 }
 
 func (c *clusterInitCmd) Run() error {
@@ -27,13 +27,13 @@
 	if err := ca.Issue(c.Dir, 1, time.Now()); err != nil {
 		return err
 	}
-	return show(c.Dir)
+	return printIdentity(c.Dir)
 }
 
 type clusterJoinCmd struct {
-	Member uint64 `arg:"" help:"The member's number, from 1."`
-	CA     string `help:"Folder of the authority." required:"" type:"existingdir" placeholder:"DIR"`
-	Dir    string `help:"Folder of the member's files." required:"" type:"path" placeholder:"DIR"`
+	Member uint64 `arg:"" help:"Number of the member, starting at 1."`
+	CA     string `help:"Directory of the certificate authority." required:"" type:"existingdir" placeholder:"DIR"`
+	Dir    string `help:"Directory of the member's files." required:"" type:"path" placeholder:"DIR"`
 }
 
 func (c *clusterJoinCmd) Run() error {
@@ -44,33 +44,33 @@
 	if err := ca.Issue(c.Dir, c.Member, time.Now()); err != nil {
 		return err
 	}
-	return show(c.Dir)
+	return printIdentity(c.Dir)
 }
 
 type clusterCACmd struct {
-	Show   clusterShowCmd   `cmd:"" help:"Say whose files a folder holds, and until when they count."`
-	Revoke clusterRevokeCmd `cmd:"" help:"Have a member refuse a certificate from now on; say it to each member."`
+	Show   clusterShowCmd   `cmd:"" help:"Print the identity in a directory and when it expires."`
+	Revoke clusterRevokeCmd `cmd:"" help:"Make one member refuse a certificate from now on; run it for each member."`
 }
 
 type clusterShowCmd struct {
-	Dir string `arg:"" help:"Folder of a member's files." type:"existingdir"`
+	Dir string `arg:"" help:"Directory of a member's files." type:"existingdir"`
 }
 
-func (c *clusterShowCmd) Run() error { return show(c.Dir) }
+func (c *clusterShowCmd) Run() error { return printIdentity(c.Dir) }
 
 type clusterRevokeCmd struct {
-	Dir    string `arg:"" help:"Folder of the files of the member that is to refuse it." type:"existingdir"`
-	Serial string `arg:"" help:"Serial number, in hexadecimal, as 'ca show' prints it."`
+	Dir    string `arg:"" help:"Directory of the files of the member that must refuse the certificate." type:"existingdir"`
+	Serial string `arg:"" help:"Serial number in hexadecimal, as printed by 'ca show'."`
 }
 
 func (c *clusterRevokeCmd) Run() error { return cluster.Revoke(c.Dir, c.Serial) }
 
-func show(dir string) error {
-	k, err := cluster.OpenCredentials(dir)
+func printIdentity(dir string) error {
+	credentials, err := cluster.OpenCredentials(dir)
 	if err != nil {
 		return err
 	}
-	id, err := k.Identity()
+	id, err := credentials.Identity()
 	if err != nil {
 		return err
 	}
--- a/cmd/violetspan/inventory.go
+++ b/cmd/violetspan/inventory.go
@@ -9,11 +9,11 @@
 )
 
 type inventoryCmd struct {
-	Check inventoryCheckCmd `cmd:"" help:"Print every fault of an inventory."`
+	Check inventoryCheckCmd `cmd:"" help:"Print all errors of an inventory."`
 }
 
 type inventoryCheckCmd struct {
-	Files []string `arg:"" help:"Files that are one inventory, in CSV or YAML." type:"path"`
+	Files []string `arg:"" help:"Files of one inventory, in CSV or YAML." type:"path"`
 }
 
 func (c *inventoryCheckCmd) Run() error {
@@ -23,11 +23,11 @@
 		for _, f := range all {
 			fmt.Fprintln(os.Stderr, f)
 		}
-		return fmt.Errorf("%w: %d faults", errConfig, len(all))
+		return fmt.Errorf("%w: %d errors", errConfig, len(all))
 	} else if err != nil {
 		return fmt.Errorf("%w: %w", errConfig, err)
 	}
 	p := &inv.Plan
-	fmt.Printf("%d switches, %d tenants, %d groups, %d classes, %d demands: no fault\n", len(inv.Switches), len(inv.Tenants), len(p.Groups), len(p.Classes), len(p.Demands))
+	fmt.Printf("%d switches, %d tenants, %d groups, %d classes, %d demands: no errors\n", len(inv.Switches), len(inv.Tenants), len(p.Groups), len(p.Classes), len(p.Demands))
 	return nil
 }
--- a/cmd/violetspan/lab.go
+++ b/cmd/violetspan/lab.go
@@ -16,14 +16,14 @@
 )
 
 type labCmd struct {
-	Run  labRunCmd  `cmd:"" help:"Play an experiment's file and write its results."`
-	Cost labCostCmd `cmd:"" help:"Measure how long plans take to solve by size."`
+	Run  labRunCmd  `cmd:"" help:"Run an experiment file and write its results."`
+	Cost labCostCmd `cmd:"" help:"Measure the time to solve a plan by the number of switches."`
 }
 
 type labCostCmd struct {
-	Sizes []int   `help:"Switches." default:"4,8,12,16,24"`
-	Gap   float64 `help:"As of plan solve." default:"0"`
-	Out   string  `short:"o" help:"Folder of the results." type:"path" default:"lab/cost" placeholder:"DIR"`
+	Sizes []int   `help:"Numbers of switches." default:"4,8,12,16,24"`
+	Gap   float64 `help:"As for plan solve." default:"0"`
+	Out   string  `short:"o" help:"Directory for the results." type:"path" default:"lab/cost" placeholder:"DIR"`
 }
 
 func (c *labCostCmd) Run() error {
@@ -40,8 +40,8 @@
 }
 
 type labRunCmd struct {
-	File string `arg:"" help:"The experiment, in YAML." type:"path"`
-	Out  string `short:"o" help:"Folder of the results; by default the file's name without its ending." type:"path" placeholder:"DIR"`
+	File string `arg:"" help:"Experiment file, in YAML." type:"path"`
+	Out  string `short:"o" help:"Directory for the results; by default the experiment file's name without its extension." type:"path" placeholder:"DIR"`
 }
 
 func (c *labRunCmd) Run() error {
@@ -56,8 +56,8 @@
 	defer stop()
 	bar := progressbar.NewOptions(len(e.Sizes)*e.Seeds*len(e.Policies), progressbar.OptionSetWriter(os.Stderr),
 		progressbar.OptionSetDescription(e.Name), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish(),
-		progressbar.OptionSetVisibility(terminal(os.Stderr)))
-	runs, err := e.Do(ctx, func(done, all int) { _ = bar.Set(done) })
+		progressbar.OptionSetVisibility(isTerminal(os.Stderr)))
+	runs, err := e.Do(ctx, func(done, total int) { _ = bar.Set(done) })
 	if err != nil {
 		return err
 	}
@@ -68,8 +68,8 @@
 	return e.Write(c.Out, runs)
 }
 
-// terminal says whether a person looks at a file.
-func terminal(f *os.File) bool {
+// isTerminal reports whether a file is a character device.
+func isTerminal(f *os.File) bool {
 	s, err := f.Stat()
 	return err == nil && s.Mode()&os.ModeCharDevice != 0
 }
--- a/cmd/violetspan/main.go
+++ b/cmd/violetspan/main.go
@@ -1,10 +1,10 @@
 // Command violetspan is a signalling proxy: it takes calls, sets them up at the
-// switches that its decision module chooses, and gives each one final answer.
+// switches chosen by its controller, and gives each call exactly one final answer.
 //
-// On the platform it is started without arguments and configured by the variables
-// ROUTER_CONFIG, ROUTER_NAME and ROUTER_LISTEN. With --service FILE it also offers
-// the hosted service, on its own if ROUTER_CONFIG is not set. Its other commands
-// work out plans, check inventories and run experiments; --help lists them.
+// On the platform it runs without arguments and is configured by the environment
+// variables ROUTER_CONFIG, ROUTER_NAME and ROUTER_LISTEN. With --service FILE it also
+// offers the hosted service, and only that if ROUTER_CONFIG is not set. Other commands
+// solve plans, check inventories and run experiments; --help lists them.
 package main
 
 import (
@@ -23,24 +23,24 @@
 )
 
 type cli struct {
-	Run       runCmd       `cmd:"" default:"withargs" help:"Serve as a signalling proxy (without a command, this one)."`
-	Plan      planCmd      `cmd:"" help:"Work out routes and shares ahead of time."`
+	Run       runCmd       `cmd:"" default:"withargs" help:"Run the signalling proxy (the default command)."`
+	Plan      planCmd      `cmd:"" help:"Compute routes and shares in advance."`
 	Lab       labCmd       `cmd:"" help:"Run experiments on an emulated mesh."`
-	Inventory inventoryCmd `cmd:"" help:"Look at inventory files."`
-	Cluster   clusterCmd   `cmd:"" help:"Identities of instances that share duties."`
+	Inventory inventoryCmd `cmd:"" help:"Check inventory files."`
+	Cluster   clusterCmd   `cmd:"" help:"Manage the identities of instances that share duties."`
 }
 
-// errConfig marks errors of what the user wrote: exit code 2.
+// errConfig marks errors in the user's input: exit code 2.
 var errConfig = errors.New("configuration")
 
 func main() {
 	var c cli
-	k, err := kong.New(&c, kong.Name("violetspan"), kong.Description("A signalling proxy for a mesh of exchanges."), kong.UsageOnError(), kong.ExplicitGroups(nil))
+	parser, err := kong.New(&c, kong.Name("violetspan"), kong.Description("A signalling proxy for a mesh of exchanges."), kong.UsageOnError(), kong.ExplicitGroups(nil))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "violetspan:", err)
 		os.Exit(exitFailed)
 	}
-	ctx, err := k.Parse(dashes(os.Args[1:]))
+	ctx, err := parser.Parse(normalizeFlags(os.Args[1:]))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "violetspan:", err)
 		os.Exit(exitConfig)
@@ -55,8 +55,9 @@
 	}
 }
 
-// dashes lets -service do what it did before there were commands.
-func dashes(args []string) []string {
+// normalizeFlags turns -service into --service. The single dash was the flag's form before
+// the program had commands.
+func normalizeFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if out[i] = a; strings.HasPrefix(a, "-service") {
--- a/cmd/violetspan/main_test.go
+++ b/cmd/violetspan/main_test.go
@@ -12,22 +12,22 @@
 	"violetspan.example/violetspan/decide/replan"
 )
 
-// parse gives the command that arguments mean.
+// parse parses a command line and returns the selected command, or the parser's error.
 func parse(t *testing.T, args ...string) (*cli, string) {
 	t.Helper()
 	var c cli
-	k, err := kong.New(&c)
+	parser, err := kong.New(&c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, err := k.Parse(dashes(args))
+	ctx, err := parser.Parse(normalizeFlags(args))
 	if err != nil {
 		return &c, err.Error()
 	}
 	return &c, ctx.Command()
 }
 
-// The command line as it was before there were commands means what it did.
+// Command lines from before the program had commands must keep their meaning.
 func TestArguments(t *testing.T) {
 	for _, x := range []struct {
 		args, want, service string
@@ -42,8 +42,8 @@
 	}
 }
 
-// A plan goes its way: solved, verified against its inventory, explained, refused
-// for another; and an inventory with faults is refused.
+// Solves a plan, verifies it against its inventory and explains it. Verification against
+// another inventory must fail, and so must solving with a deadline of a nanosecond.
 func TestPlanCommands(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "plan.json")
 	const example = "../../example/plan.yaml"
@@ -69,11 +69,11 @@
 		t.Error(err)
 	}
 	if err := (&planSolveCmd{Files: []string{example}, Blocking: 0.2, Valid: 1e12, Deadline: 1}).Run(); err == nil {
-		t.Error("solved in a nanosecond")
+		t.Error("a plan was solved despite a deadline of one nanosecond")
 	}
 }
 
-// An installation is made, a member joins, is renewed and revoked.
+// Creates an installation, issues and renews a member's certificate, and revokes it.
 func TestClusterCommands(t *testing.T) {
 	dir := t.TempDir()
 	ca, one, two := filepath.Join(dir, "ca"), filepath.Join(dir, "one"), filepath.Join(dir, "two")
@@ -84,9 +84,9 @@
 		&clusterRevokeCmd{Dir: one, Serial: "ABC123"},
 		&clusterRevokeCmd{Dir: one, Serial: "abc124"},
 		&clusterShowCmd{Dir: one},
-		&clusterInitCmd{Installation: "tran", CA: ca, Dir: one}, // from here on refused: never replaced
+		&clusterInitCmd{Installation: "tran", CA: ca, Dir: one}, // fails, like all that follow: an authority is never replaced
 		&clusterJoinCmd{Member: 0, CA: ca, Dir: two},
-		&clusterJoinCmd{Member: 2, CA: two, Dir: two}, // no authority's key there
+		&clusterJoinCmd{Member: 2, CA: two, Dir: two}, // the directory lacks the authority's key
 		&clusterShowCmd{Dir: ca},
 		&clusterRevokeCmd{Dir: one, Serial: "green"},
 	} {
--- a/example/toycall/main.go
+++ b/example/toycall/main.go
@@ -1,5 +1,5 @@
-// Command toycall places one call through violetspan's call API and prints what
-// becomes of it.
+// Command toycall places one call through violetspan's call API and prints the messages
+// sent and received until the call ends.
 package main
 
 import (
@@ -16,16 +16,16 @@
 
 func main() {
 	log.SetFlags(0)
-	url := flag.String("url", "ws://127.0.0.1:8470/v1/calls", "the call API")
-	token := flag.String("token", "", "the tenant's bearer token")
+	url := flag.String("url", "ws://127.0.0.1:8470/v1/calls", "URL of the call API")
+	token := flag.String("token", "", "bearer token of the tenant")
 	class := flag.String("class", "space-check", "class of call")
-	number := flag.String("number", "4711", "number called")
-	dest := flag.Int("dest", 1, "exchange of the destination")
+	number := flag.String("number", "4711", "called number")
+	dest := flag.Int("dest", 1, "destination exchange")
 	flag.Parse()
 
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	c, resp, err := websocket.Dial(ctx, *url, &websocket.DialOptions{
+	conn, resp, err := websocket.Dial(ctx, *url, &websocket.DialOptions{
 		Subprotocols: []string{"violetspan.calls.v1"}, HTTPHeader: http.Header{"Authorization": {"Bearer " + *token}}})
 	if err != nil {
 		if resp != nil {
@@ -33,21 +33,21 @@
 		}
 		log.Fatal(err)
 	}
-	defer c.CloseNow()
+	defer conn.CloseNow()
 	setup := fmt.Appendf(nil, `{"type":"setup","call":"toy-%d","class":%q,"number":%q,"dest":%d,"wait_ms":3000}`,
 		time.Now().UnixNano(), *class, *number, *dest)
 	fmt.Printf("> %s\n", setup)
-	if err := c.Write(ctx, websocket.MessageText, setup); err != nil {
+	if err := conn.Write(ctx, websocket.MessageText, setup); err != nil {
 		log.Fatal(err)
 	}
 	for {
-		_, b, err := c.Read(ctx)
+		_, reply, err := conn.Read(ctx)
 		if err != nil {
 			log.Fatal(err)
 		}
-		fmt.Printf("< %s\n", b)
-		if !strings.HasPrefix(string(b), `{"type":"answer"`) {
-			return // the call is over, or was never taken
+		fmt.Printf("< %s\n", reply)
+		if !strings.HasPrefix(string(reply), `{"type":"answer"`) {
+			return // the call was not answered, or it has ended
 		}
 	}
 }
--- a/example/toyswitch/main.go
+++ b/example/toyswitch/main.go
@@ -1,5 +1,5 @@
-// Command toyswitch is a switch that speaks the call API, to try violetspan
-// with. It answers every set-up and ends the call after a while.
+// Command toyswitch is a minimal switch for trying out violetspan. It speaks the call API,
+// answers every set-up for which it has circuits, and ends each call after a fixed time.
 package main
 
 import (
@@ -19,7 +19,7 @@
 
 const protocol = "violetspan.calls.v1"
 
-// message holds the fields of the API that the toy needs.
+// message contains the fields of the API's messages that toySwitch uses.
 type message struct {
 	Type        string `json:"type"`
 	Call        string `json:"call,omitempty"`
@@ -31,43 +31,43 @@
 	Size        *int   `json:"size,omitempty"`
 }
 
-// toy is the switch: its circuits and the calls that hold them.
-type toy struct {
+// toySwitch is a switch with its circuits and its established calls.
+type toySwitch struct {
 	name   string
 	size   int
 	hold   time.Duration
 	mu     sync.Mutex
 	free   int
-	widths map[string]int // of the calls that stand
+	widths map[string]int // circuits per established call
 }
 
 func main() {
 	listen := flag.String("listen", "127.0.0.1:9101", "address to listen on")
-	name := flag.String("name", "toy", "name that answers are given under")
-	hold := flag.Duration("hold", 3*time.Second, "how long a call stands")
-	size := flag.Int("circuits", 10, "circuits towards this switch")
-	full := flag.Bool("full", false, "have no free circuit")
+	name := flag.String("name", "toy", "name given in answers")
+	hold := flag.Duration("hold", 3*time.Second, "duration of a call")
+	size := flag.Int("circuits", 10, "number of circuits towards this switch")
+	full := flag.Bool("full", false, "start with no free circuit")
 	flag.Parse()
-	t := &toy{name: *name, size: *size, free: *size, hold: *hold, widths: map[string]int{}}
+	s := &toySwitch{name: *name, size: *size, free: *size, hold: *hold, widths: map[string]int{}}
 	if *full {
-		t.free = 0
+		s.free = 0
 	}
 	log.Printf("%s listens on %s", *name, *listen)
-	log.Fatal(http.ListenAndServe(*listen, http.HandlerFunc(t.serve)))
+	log.Fatal(http.ListenAndServe(*listen, http.HandlerFunc(s.serve)))
 }
 
-// serve takes the proxy's connection.
-func (t *toy) serve(w http.ResponseWriter, r *http.Request) {
-	c, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{protocol}})
+// serve handles one connection from the proxy.
+func (s *toySwitch) serve(w http.ResponseWriter, r *http.Request) {
+	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{protocol}})
 	if err != nil {
 		return
 	}
-	defer c.CloseNow()
+	defer conn.CloseNow()
 	ctx := r.Context()
-	t.group(ctx, c)
+	s.sendGroup(ctx, conn)
 	for {
 		var m message
-		_, b, err := c.Read(ctx)
+		_, b, err := conn.Read(ctx)
 		if err != nil || json.Unmarshal(b, &m) != nil {
 			log.Printf("connection ended: %v", err)
 			return
@@ -75,62 +75,62 @@
 		log.Printf("> %s", b)
 		switch m.Type {
 		case "setup":
-			t.setUp(ctx, c, m)
+			s.setUp(ctx, conn, m)
 		case "release":
-			t.release(m.Call)
-			t.group(ctx, c)
+			s.release(m.Call)
+			s.sendGroup(ctx, conn)
 		}
 	}
 }
 
-func (t *toy) setUp(ctx context.Context, c *websocket.Conn, m message) {
-	t.mu.Lock()
-	room := t.free >= m.Width
-	if room {
-		t.free -= m.Width
-		t.widths[m.Call] = m.Width
+func (s *toySwitch) setUp(ctx context.Context, conn *websocket.Conn, m message) {
+	s.mu.Lock()
+	accepted := s.free >= m.Width
+	if accepted {
+		s.free -= m.Width
+		s.widths[m.Call] = m.Width
 	}
-	t.mu.Unlock()
-	if !room {
-		t.send(ctx, c, message{Type: "refused", Call: m.Call, Reason: "no_circuit"})
+	s.mu.Unlock()
+	if !accepted {
+		s.send(ctx, conn, message{Type: "refused", Call: m.Call, Reason: "no_circuit"})
 		return
 	}
-	t.send(ctx, c, message{Type: "answer", Call: m.Call, Description: fmt.Sprintf("%s took %s", t.name, m.Number)})
-	t.group(ctx, c)
-	time.AfterFunc(t.hold, func() {
-		if t.release(m.Call) {
-			t.send(ctx, c, message{Type: "released", Call: m.Call, Reason: "ended"})
-			t.group(ctx, c)
+	s.send(ctx, conn, message{Type: "answer", Call: m.Call, Description: fmt.Sprintf("%s took %s", s.name, m.Number)})
+	s.sendGroup(ctx, conn)
+	time.AfterFunc(s.hold, func() {
+		if s.release(m.Call) {
+			s.send(ctx, conn, message{Type: "released", Call: m.Call, Reason: "ended"})
+			s.sendGroup(ctx, conn)
 		}
 	})
 }
 
-// release frees a call's circuits; false if it has none any more.
-func (t *toy) release(call string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	width, stands := t.widths[call]
-	delete(t.widths, call)
-	t.free += width
-	return stands
+// release frees the circuits of a call. It returns false if the call has none.
+func (s *toySwitch) release(call string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	width, established := s.widths[call]
+	delete(s.widths, call)
+	s.free += width
+	return established
 }
 
-// group tells the proxy how many circuits are free.
-func (t *toy) group(ctx context.Context, c *websocket.Conn) {
-	t.mu.Lock()
-	free := t.free
-	t.mu.Unlock()
-	t.send(ctx, c, message{Type: "group", Free: &free, Size: &t.size})
+// sendGroup reports the number of free circuits to the proxy.
+func (s *toySwitch) sendGroup(ctx context.Context, conn *websocket.Conn) {
+	s.mu.Lock()
+	free := s.free
+	s.mu.Unlock()
+	s.send(ctx, conn, message{Type: "group", Free: &free, Size: &s.size})
 }
 
-func (t *toy) send(ctx context.Context, c *websocket.Conn, m message) {
+func (s *toySwitch) send(ctx context.Context, conn *websocket.Conn, m message) {
 	b, err := json.Marshal(m)
 	if err != nil {
 		log.Print(err)
 		return
 	}
 	log.Printf("< %s", b)
-	if err := c.Write(ctx, websocket.MessageText, b); err != nil {
+	if err := conn.Write(ctx, websocket.MessageText, b); err != nil {
 		log.Print(err)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where the program's configuration is read,
-// checked and given defaults. Every error names the key at fault.
+// Package config reads the program's configuration, validates it and applies the
+// defaults. Every error names the faulty key or environment variable.
 package config
 
 import (
@@ -26,47 +26,48 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Platform is what the platform tells a signalling proxy at its start.
+// Platform is the configuration that the platform gives a signalling proxy at start-up.
 type Platform struct {
 	Name        string
 	Listen      string
 	Seed        uint64
-	Sockets     int
-	MemoryMB    int
+	Sockets     int    // limit on file descriptors
+	MemoryMB    int    // limit on memory, in MiB
 	ChannelAddr string // address of the command channel
-	KnownEvents []byte // its events up to the start, in the channel's own form
+	KnownEvents []byte // the channel's events before start-up, in its wire format
 	Settings    Settings
 }
 
-// Settings are the module's settings and what the fronts need of them.
+// Settings are the controller's settings and the values that the platform server and the
+// call API derive from the same configuration.
 type Settings struct {
 	Routing     routing.Settings
-	Classes     map[string]int  // places in Brain.Classes
-	HasWidths   bool            // each class says how many circuits its calls take
-	Tenants     map[string]bool // nil: none are listed
+	Classes     map[string]int  // class name to its index in Routing.Classes
+	HasWidths   bool            // the configuration gives the number of circuits per call of each class
+	Tenants     map[string]bool // nil: the configuration lists no tenants
 	DialTimeout time.Duration
 	MaxCalls    int
 }
 
-// SilenceTimeout is how long a switch that has a set-up may say nothing at all: half of
-// the shortest goal time, as the module's mark for delays.
+// SilenceTimeout is how long a switch with an unanswered set-up may send nothing at all:
+// half of the shortest goal time, the same threshold as the controller has for delays.
 func (s *Settings) SilenceTimeout() time.Duration {
-	least := s.Routing.Classes[0].GoalTime
-	for _, k := range s.Routing.Classes {
-		least = min(least, k.GoalTime)
+	shortest := s.Routing.Classes[0].GoalTime
+	for _, class := range s.Routing.Classes {
+		shortest = min(shortest, class.GoalTime)
 	}
-	return least / 2
+	return shortest / 2
 }
 
-// Limits that a configuration can't go beyond.
+// Limits on the configuration itself.
 const (
-	maxClasses = 1000
-	minSockets = 64
-	maxFile    = 8 << 20
+	maxClasses   = 1000
+	minSockets   = 64
+	maxFileBytes = 8 << 20
 )
 
-// FromEnv reads the configuration that ROUTER_CONFIG names. ROUTER_NAME and
-// ROUTER_LISTEN, where they are set, must agree with it.
+// FromEnv reads the configuration file named by ROUTER_CONFIG. ROUTER_NAME and
+// ROUTER_LISTEN, if set, must match it.
 func FromEnv(env func(string) string) (*Platform, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -76,8 +77,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if st.Size() > maxFile {
-		return nil, fmt.Errorf("ROUTER_CONFIG: %d bytes, more than %d", st.Size(), maxFile)
+	if st.Size() > maxFileBytes {
+		return nil, fmt.Errorf("ROUTER_CONFIG: %d bytes, more than %d", st.Size(), maxFileBytes)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -96,100 +97,101 @@
 	return p, nil
 }
 
-// Parse reads a platform configuration.
+// Parse reads a platform configuration in JSON.
 func Parse(b []byte) (*Platform, error) {
-	r, err := open(b)
+	r, err := newReader(b)
 	if err != nil {
 		return nil, err
 	}
 	p := &Platform{
-		Name:        r.text("name", ""),
-		Listen:      r.address("listen"),
-		ChannelAddr: r.address("channel"),
-		Sockets:     r.whole("limits.sockets", 1024, minSockets, 1<<24),
-		MemoryMB:    r.whole("limits.memory_mb", 192, 16, 1<<24),
+		Name:        r.stringOr("name", ""),
+		Listen:      r.requiredAddress("listen"),
+		ChannelAddr: r.requiredAddress("channel"),
+		Sockets:     r.integer("limits.sockets", 1024, minSockets, 1<<24),
+		MemoryMB:    r.integer("limits.memory_mb", 192, 16, 1<<24),
 		Settings:    r.settings("settings."),
 	}
-	if seed := r.text("seed", "0"); r.err == nil {
+	if seed := r.stringOr("seed", "0"); r.err == nil {
 		if p.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			r.fail("seed", fmt.Sprintf("%q is not a hexadecimal number", seed))
 		}
 	}
-	known := r.at("known")
+	known := r.get("known")
 	if known.ValueType() != jsoniter.ObjectValue {
-		r.fail("known", "an object is wanted")
+		r.fail("known", "must be an object")
 	} else {
 		p.KnownEvents = []byte(known.ToString())
 	}
 	return p, r.err
 }
 
-// ResourceLimits are the parts of a platform's limits that its front and core may use.
+// ResourceLimits are the shares of the platform's limits for its server, the core and the
+// call API.
 type ResourceLimits struct {
 	MaxCallerConns int // connections from callers
-	MaxOpenSetUps  int // set-ups open at once
-	MaxCalls       int // calls at once, those that stand included
-	// What the call API keeps for its clients, where it serves beside the platform.
+	MaxOpenSetUps  int // concurrent unanswered set-ups
+	MaxCalls       int // concurrent calls, including established ones
+	// What the call API stores for its clients if it runs beside the platform.
 	MaxStoredCalls, MaxStoredBytes int
-	SoftMemoryBytes                int64 // bytes of memory from which on garbage is collected at once
+	SoftMemoryBytes                int64 // soft memory limit of the garbage collector
 }
 
-// Shares of the limits, and what one thing of a kind takes of the memory at most:
-// a connection its buffer, goroutine and what the kernel counts; an open set-up a
-// message of the longest kind, its call and its goroutine; a standing call the
-// latter two alone.
+// Maximum memory per item. A connection takes its buffer, its goroutine and the memory
+// that the kernel accounts to it; an open set-up takes a message of the maximum length,
+// its call and its goroutine; an established call takes only its call and its goroutine.
 const (
-	connBytes = 16 << 10
-	openBytes = 24 << 10
-	callBytes = 6 << 10
-	keptBytes = 1 << 10
-	mostCalls = 8192
+	bytesPerConn       = 16 << 10
+	bytesPerOpenSetUp  = 24 << 10
+	bytesPerCall       = 6 << 10
+	bytesPerStoredCall = 1 << 10
+	maxCalls           = 8192
 )
 
-// ResourceLimits works the bounds out. A quarter of the memory is for each of the three
-// kinds, at most; the rest is for all else, half of it for what the call API keeps.
+// ResourceLimits derives the limits from the memory and socket limits. Connections, open
+// set-ups and calls each get at most a quarter of the memory; the last quarter is for
+// everything else, half of it for calls stored by the call API.
 func (p *Platform) ResourceLimits() ResourceLimits {
 	quarter := p.MemoryMB << 20 / 4
-	calls := min(p.Settings.MaxCalls, mostCalls, quarter/callBytes)
-	return ResourceLimits{MaxCallerConns: min(p.Sockets/2, quarter/connBytes), MaxCalls: calls, MaxOpenSetUps: min(calls, quarter/openBytes),
-		MaxStoredCalls: quarter / 2 / keptBytes, MaxStoredBytes: quarter / 2, SoftMemoryBytes: int64(p.MemoryMB) << 20 / 4 * 3}
+	calls := min(p.Settings.MaxCalls, maxCalls, quarter/bytesPerCall)
+	return ResourceLimits{MaxCallerConns: min(p.Sockets/2, quarter/bytesPerConn), MaxCalls: calls, MaxOpenSetUps: min(calls, quarter/bytesPerOpenSetUp),
+		MaxStoredCalls: quarter / 2 / bytesPerStoredCall, MaxStoredBytes: quarter / 2, SoftMemoryBytes: int64(p.MemoryMB) << 20 / 4 * 3}
 }
 
-// RestartRequiredKey names the first key in which a configuration read later differs and
-// which a running proxy can't take over, or is empty.
-func (p *Platform) RestartRequiredKey(later *Platform) string {
+// RestartRequiredKey returns the first key that differs in a configuration read later and
+// that a running proxy can't apply. It returns "" if there is none.
+func (p *Platform) RestartRequiredKey(updated *Platform) string {
 	for _, k := range []struct {
-		key    string
-		differ bool
+		key     string
+		changed bool
 	}{
-		{"limits.sockets", p.Sockets != later.Sockets},
-		{"limits.memory_mb", p.MemoryMB != later.MemoryMB},
-		{"settings", !reflect.DeepEqual(p.Settings, later.Settings)},
+		{"limits.sockets", p.Sockets != updated.Sockets},
+		{"limits.memory_mb", p.MemoryMB != updated.MemoryMB},
+		{"settings", !reflect.DeepEqual(p.Settings, updated.Settings)},
 	} {
-		if k.differ {
+		if k.changed {
 			return k.key
 		}
 	}
 	return ""
 }
 
-// Service is where the hosted service listens and what it serves. Its file
-// stands under deploy/; without one the service is off.
+// Service is the configuration of the hosted service. Without a service file, such as
+// deploy/service.json, the service is off.
 type Service struct {
-	CallListen      string
-	AnswerRetention time.Duration
-	MaxStoredCalls  int
-	MaxConns        int
-	AdminListen     string // empty: off
+	CallListen      string        // address of the call API
+	AnswerRetention time.Duration // how long final answers stay available to clients
+	MaxStoredCalls  int           // calls stored for clients
+	MaxConns        int           // concurrent client connections
+	AdminListen     string        // empty: off
 	AdminTokenHash  string
 	TLSCert         string // paths of the certificate and its key; empty: no TLS
 	TLSKey          string
-	Inventory       string            // path of the inventory
-	Settings        *Settings         // nil: the platform's are used
+	Inventory       string            // path of the inventory file
+	Settings        *Settings         // nil: the platform's settings apply
 	Plan            *planner.Settings // nil: off
 }
 
-// LoadService reads a service file. Paths in it are relative to its own place.
+// LoadService reads a service file. Relative paths in it are relative to its directory.
 func LoadService(path string, env func(string) string) (*Service, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -211,7 +213,7 @@
 	return s, nil
 }
 
-// Certificate reads the certificate, nil if TLS is off.
+// Certificate loads the certificate and its key. It returns nil if TLS is off.
 func (s *Service) Certificate() (*tls.Certificate, error) {
 	if s.TLSCert == "" {
 		return nil, nil
@@ -223,97 +225,97 @@
 	return &c, nil
 }
 
-// ParseService reads the text of a service file. The token of administrators
-// comes from the environment, so that no file holds it.
+// ParseService parses the content of a service file. The administrators' token comes from
+// the environment so that no file contains it.
 func ParseService(b []byte, env func(string) string) (*Service, error) {
-	r, err := open(b)
+	r, err := newReader(b)
 	if err != nil {
 		return nil, err
 	}
-	r.only("", "callapi", "admin", "tls", "inventory", "settings", "plan")
-	r.only("plan", "file", "measure", "deadline_s", "gap", "blocking", "tandem_cost", "yard_cost", "every_s", "valid_s", "margin", "confirm", "cool_s", "memory_s", "max_flows")
-	r.only("callapi", "listen", "keep_answers_s", "max_kept_calls", "max_connections")
-	r.only("admin", "listen", "token_env")
-	r.only("tls", "cert", "key")
+	r.rejectUnknownKeys("", "callapi", "admin", "tls", "inventory", "settings", "plan")
+	r.rejectUnknownKeys("plan", "file", "measure", "deadline_s", "gap", "blocking", "tandem_cost", "yard_cost", "every_s", "valid_s", "margin", "confirm", "cool_s", "memory_s", "max_flows")
+	r.rejectUnknownKeys("callapi", "listen", "keep_answers_s", "max_kept_calls", "max_connections")
+	r.rejectUnknownKeys("admin", "listen", "token_env")
+	r.rejectUnknownKeys("tls", "cert", "key")
 	s := &Service{
-		CallListen:      r.address("callapi.listen"),
-		AnswerRetention: time.Duration(r.num("callapi.keep_answers_s", 60, 1, 3600) * float64(time.Second)),
-		MaxStoredCalls:  r.whole("callapi.max_kept_calls", 20000, 1, 1<<20),
-		MaxConns:        r.whole("callapi.max_connections", 256, 1, 1<<16),
-		Inventory:       r.wanted("inventory"),
-	}
-	if !missing(r.at("tls")) {
-		s.TLSCert, s.TLSKey = r.wanted("tls.cert"), r.wanted("tls.key")
-	}
-	if !missing(r.at("admin")) {
-		s.AdminListen = r.address("admin.listen")
-		name := r.text("admin.token_env", "VIOLETSPAN_ADMIN_TOKEN")
+		CallListen:      r.requiredAddress("callapi.listen"),
+		AnswerRetention: time.Duration(r.number("callapi.keep_answers_s", 60, 1, 3600) * float64(time.Second)),
+		MaxStoredCalls:  r.integer("callapi.max_kept_calls", 20000, 1, 1<<20),
+		MaxConns:        r.integer("callapi.max_connections", 256, 1, 1<<16),
+		Inventory:       r.requiredString("inventory"),
+	}
+	if !isMissing(r.get("tls")) {
+		s.TLSCert, s.TLSKey = r.requiredString("tls.cert"), r.requiredString("tls.key")
+	}
+	if !isMissing(r.get("admin")) {
+		s.AdminListen = r.requiredAddress("admin.listen")
+		name := r.stringOr("admin.token_env", "VIOLETSPAN_ADMIN_TOKEN")
 		token := env(name)
-		if len(token) < minToken {
-			r.fail("admin.token_env", fmt.Sprintf("the variable %s holds no token of %d bytes or more", name, minToken))
+		if len(token) < minTokenBytes {
+			r.fail("admin.token_env", fmt.Sprintf("the variable %s must contain a token of at least %d bytes", name, minTokenBytes))
 		}
 		s.AdminTokenHash = tenant.HashToken(token)
 	}
-	if !missing(r.at("settings")) {
+	if !isMissing(r.get("settings")) {
 		set := r.settings("settings.")
 		s.Settings = &set
 	}
-	if !missing(r.at("plan")) {
+	if !isMissing(r.get("plan")) {
 		s.Plan = r.plan()
 	}
 	return s, r.err
 }
 
-// plan reads how plans are kept in force; all keys have defaults, but a file or
-// measuring is wanted.
+// plan reads the planner's settings. All keys have defaults, but plan.file or
+// plan.measure is required.
 func (r *reader) plan() *planner.Settings {
-	sec := func(key string, def, least, most float64) time.Duration {
-		return time.Duration(r.num("plan."+key, def, least, most) * float64(time.Second))
+	seconds := func(key string, def, minimum, maximum float64) time.Duration {
+		return time.Duration(r.number("plan."+key, def, minimum, maximum) * float64(time.Second))
 	}
 	p := &planner.Settings{
-		File: r.text("plan.file", ""), Measure: r.yes("plan.measure"),
-		Deadline: sec("deadline_s", 20, 0.1, 600),
-		Gap:      r.num("plan.gap", 1e-3, 1e-6, 0.1),
-		Blocking: r.num("plan.blocking", 0.2, 0.001, 0.9),
-		Costs:    plan.Costs{Tandem: r.num("plan.tandem_cost", 0.02, 0, 1e6), Yard: r.num("plan.yard_cost", 0.01, 0, 1e6)},
-		Replan: replan.Settings{Interval: sec("every_s", 60, 1, 86400), Validity: sec("valid_s", 600, 5, 86400),
-			Margin: r.num("plan.margin", 0.01, 1e-6, 10), Confirmations: r.whole("plan.confirm", 2, 1, 100),
-			Cooldown: sec("cool_s", 120, 1, 86400), Memory: sec("memory_s", 120, 1, 86400), MaxFlows: r.whole("plan.max_flows", 4096, 1, 1<<20)},
+		File: r.stringOr("plan.file", ""), Measure: r.boolean("plan.measure"),
+		Deadline: seconds("deadline_s", 20, 0.1, 600),
+		Gap:      r.number("plan.gap", 1e-3, 1e-6, 0.1),
+		Blocking: r.number("plan.blocking", 0.2, 0.001, 0.9),
+		Costs:    plan.Costs{Tandem: r.number("plan.tandem_cost", 0.02, 0, 1e6), Yard: r.number("plan.yard_cost", 0.01, 0, 1e6)},
+		Replan: replan.Settings{Interval: seconds("every_s", 60, 1, 86400), Validity: seconds("valid_s", 600, 5, 86400),
+			Margin: r.number("plan.margin", 0.01, 1e-6, 10), Confirmations: r.integer("plan.confirm", 2, 1, 100),
+			Cooldown: seconds("cool_s", 120, 1, 86400), Memory: seconds("memory_s", 120, 1, 86400), MaxFlows: r.integer("plan.max_flows", 4096, 1, 1<<20)},
 	}
 	if p.File == "" && !p.Measure {
-		r.fail("plan.file", "missing, and plan.measure is not true: there would be no plan")
+		r.fail("plan.file", "missing, and plan.measure is not true: there is no source for a plan")
 	}
 	return p
 }
 
-const minToken = 16
+const minTokenBytes = 16
 
-// only fails on keys of an object that are not known.
-func (r *reader) only(key string, known ...string) {
+// rejectUnknownKeys records an error for keys of an object that are not in known.
+func (r *reader) rejectUnknownKeys(key string, known ...string) {
 	v := r.root
 	if key != "" {
-		if v = r.at(key); missing(v) {
+		if v = r.get(key); isMissing(v) {
 			return
 		}
 	}
 	if v.ValueType() != jsoniter.ObjectValue {
-		r.fail(cmp.Or(key, "(top)"), "an object is wanted")
+		r.fail(cmp.Or(key, "(top)"), "must be an object")
 		return
 	}
 	for _, k := range v.Keys() {
 		if !slices.Contains(known, k) {
-			r.fail(strings.TrimPrefix(key+"."+k, "."), "not known")
+			r.fail(strings.TrimPrefix(key+"."+k, "."), "unknown key")
 		}
 	}
 }
 
-// reader looks values up by their dotted keys and keeps the first error.
+// reader looks up values by dotted keys and stores the first error.
 type reader struct {
 	root jsoniter.Any
 	err  error
 }
 
-func open(b []byte) (*reader, error) {
+func newReader(b []byte) (*reader, error) {
 	if !jsoniter.Valid(b) {
 		return nil, errors.New("not valid JSON")
 	}
@@ -326,7 +328,7 @@
 	}
 }
 
-func (r *reader) at(key string) jsoniter.Any {
+func (r *reader) get(key string) jsoniter.Any {
 	var path []any
 	for part := range strings.SplitSeq(key, ".") {
 		if n, err := strconv.Atoi(part); err == nil {
@@ -338,135 +340,135 @@
 	return r.root.Get(path...)
 }
 
-// missing says whether a key has no value.
-func missing(v jsoniter.Any) bool {
+// isMissing reports whether a key is absent or null.
+func isMissing(v jsoniter.Any) bool {
 	return v.ValueType() == jsoniter.InvalidValue || v.ValueType() == jsoniter.NilValue
 }
 
-func (r *reader) text(key, def string) string {
-	v := r.at(key)
+func (r *reader) stringOr(key, def string) string {
+	v := r.get(key)
 	switch {
-	case missing(v):
+	case isMissing(v):
 		return def
 	case v.ValueType() != jsoniter.StringValue:
-		r.fail(key, "a text is wanted")
+		r.fail(key, "must be a string")
 	}
 	return v.ToString()
 }
 
-// wanted is a text that has no default.
-func (r *reader) wanted(key string) string {
-	v := r.text(key, "")
+// requiredString returns a string that has no default and must not be empty.
+func (r *reader) requiredString(key string) string {
+	v := r.stringOr(key, "")
 	if v == "" {
 		r.fail(key, "missing")
 	}
 	return v
 }
 
-func (r *reader) address(key string) string {
-	v := r.wanted(key)
+func (r *reader) requiredAddress(key string) string {
+	v := r.requiredString(key)
 	if _, _, err := net.SplitHostPort(v); err != nil {
 		r.fail(key, fmt.Sprintf("%q is not an address with a port", v))
 	}
 	return v
 }
 
-func (r *reader) num(key string, def, least, most float64) float64 {
-	v := r.at(key)
-	if missing(v) {
+func (r *reader) number(key string, def, minimum, maximum float64) float64 {
+	v := r.get(key)
+	if isMissing(v) {
 		return def
 	}
 	if v.ValueType() != jsoniter.NumberValue {
-		r.fail(key, "a number is wanted")
+		r.fail(key, "must be a number")
 		return def
 	}
 	x := v.ToFloat64()
-	if math.IsNaN(x) || x < least || x > most {
-		r.fail(key, fmt.Sprintf("%v is not from %v to %v", x, least, most))
+	if math.IsNaN(x) || x < minimum || x > maximum {
+		r.fail(key, fmt.Sprintf("%v is out of range: %v to %v", x, minimum, maximum))
 	}
 	return x
 }
 
-func (r *reader) whole(key string, def, least, most int) int {
-	x := r.num(key, float64(def), float64(least), float64(most))
+func (r *reader) integer(key string, def, minimum, maximum int) int {
+	x := r.number(key, float64(def), float64(minimum), float64(maximum))
 	if x != math.Trunc(x) {
-		r.fail(key, fmt.Sprintf("%v is not a whole number", x))
+		r.fail(key, fmt.Sprintf("%v is not an integer", x))
 	}
 	return int(x)
 }
 
-const longestMs = 30 * 24 * 3600 * 1000
+const maxDurationMs = 30 * 24 * 3600 * 1000
 
-func (r *reader) ms(key string, def float64) time.Duration {
-	return time.Duration(r.num(key, def, 0, longestMs) * float64(time.Millisecond))
+func (r *reader) milliseconds(key string, def float64) time.Duration {
+	return time.Duration(r.number(key, def, 0, maxDurationMs) * float64(time.Millisecond))
 }
 
-func (r *reader) yes(key string) bool {
-	v := r.at(key)
-	if missing(v) {
+func (r *reader) boolean(key string) bool {
+	v := r.get(key)
+	if isMissing(v) {
 		return false
 	}
 	if v.ValueType() != jsoniter.BoolValue {
-		r.fail(key, "true or false is wanted")
+		r.fail(key, "must be true or false")
 	}
 	return v.ToBool()
 }
 
-// settings reads the module's settings; keys that nothing here needs are skipped.
-func (r *reader) settings(at string) Settings {
-	const most = math.MaxInt32
+// settings reads the controller's settings and ignores keys that this program doesn't use.
+func (r *reader) settings(prefix string) Settings {
+	const maxInt = math.MaxInt32
 	s := Settings{
 		Routing: routing.Settings{
-			OwnExchange:    r.whole(at+"extra.here", -1, -1, most),
-			FleetSize:      r.whole(at+"fleetSize", 1, 1, most),
-			PoolMode:       r.text(at+"extra.topology", "meshed") == "groups",
-			MaxAttempts:    r.whole(at+"limits.mostTries", 1, 1, most),
-			ReleaseDelay:   r.ms(at+"extra.releaseMs", 500),
-			ResendInterval: r.ms(at+"extra.resendMs", 0),
-			WarmUpTime:     r.ms(at+"rules.rampTimeMs", 0),
-			ColdCapacity:   r.num(at+"rules.coldShare", 0, 0, 1),
-			OverloadFactor: r.num(at+"rules.fallMultiple", 1, 0, most),
-			OverloadWindow: r.ms(at+"rules.overloadForMs", 0),
-			AnswerSlack:    r.ms(at+"rules.answerSlackMs", 0),
-			CancelAllowed:  r.yes(at + "limits.cancel"),
-			RedialsMarked:  r.yes(at + "clients.marksRetry"),
+			OwnExchange:    r.integer(prefix+"extra.here", -1, -1, maxInt),
+			FleetSize:      r.integer(prefix+"fleetSize", 1, 1, maxInt),
+			PoolMode:       r.stringOr(prefix+"extra.topology", "meshed") == "groups",
+			MaxAttempts:    r.integer(prefix+"limits.mostTries", 1, 1, maxInt),
+			ReleaseDelay:   r.milliseconds(prefix+"extra.releaseMs", 500),
+			ResendInterval: r.milliseconds(prefix+"extra.resendMs", 0),
+			WarmUpTime:     r.milliseconds(prefix+"rules.rampTimeMs", 0),
+			ColdCapacity:   r.number(prefix+"rules.coldShare", 0, 0, 1),
+			OverloadFactor: r.number(prefix+"rules.fallMultiple", 1, 0, maxInt),
+			OverloadWindow: r.milliseconds(prefix+"rules.overloadForMs", 0),
+			AnswerSlack:    r.milliseconds(prefix+"rules.answerSlackMs", 0),
+			CancelAllowed:  r.boolean(prefix + "limits.cancel"),
+			RedialsMarked:  r.boolean(prefix + "clients.marksRetry"),
 		},
 		Classes:     map[string]int{},
-		DialTimeout: r.ms(at+"limits.dialTimeoutMs", 500),
-		MaxCalls:    r.whole(at+"limits.openCap", 8192, 1, most),
+		DialTimeout: r.milliseconds(prefix+"limits.dialTimeoutMs", 500),
+		MaxCalls:    r.integer(prefix+"limits.openCap", 8192, 1, maxInt),
 	}
-	s.HasWidths = !missing(r.at(at + "extra.widths"))
-	for i := range r.at(at + "realms").Size() {
+	s.HasWidths = !isMissing(r.get(prefix + "extra.widths"))
+	for i := range r.get(prefix + "realms").Size() {
 		if s.Tenants == nil {
 			s.Tenants = map[string]bool{}
 		}
-		s.Tenants[r.wanted(at+"realms."+strconv.Itoa(i)+".name")] = true
+		s.Tenants[r.requiredString(prefix+"realms."+strconv.Itoa(i)+".name")] = true
 	}
-	n := r.at(at + "classes").Size()
+	n := r.get(prefix + "classes").Size()
 	if n < 1 || n > maxClasses {
-		r.fail(at+"classes", "a list of one class or more is wanted")
+		r.fail(prefix+"classes", "must be a list of at least one class")
 		n = 0
 	}
 	for i := range n {
-		key := at + "classes." + strconv.Itoa(i) + "."
+		key := prefix + "classes." + strconv.Itoa(i) + "."
 		k := routing.Class{
-			GoalTime: r.ms(key+"goalTimeMs", 0), Deadline: r.ms(key+"deadlineMs", 0), Worth: r.num(key+"worth", 1, 0, most),
-			Width: r.whole(at+"extra.widths."+strconv.Itoa(i), 1, 1, most),
-			Hold:  r.ms(at+"extra.classHoldMs."+strconv.Itoa(i), 0),
+			GoalTime: r.milliseconds(key+"goalTimeMs", 0), Deadline: r.milliseconds(key+"deadlineMs", 0), Worth: r.number(key+"worth", 1, 0, maxInt),
+			Width: r.integer(prefix+"extra.widths."+strconv.Itoa(i), 1, 1, maxInt),
+			Hold:  r.milliseconds(prefix+"extra.classHoldMs."+strconv.Itoa(i), 0),
 		}
-		pools := at + "extra.skilledPools." + strconv.Itoa(i)
-		for j := range r.at(pools).Size() {
-			k.Pools = append(k.Pools, r.whole(pools+"."+strconv.Itoa(j), 0, 0, most))
+		pools := prefix + "extra.skilledPools." + strconv.Itoa(i)
+		for j := range r.get(pools).Size() {
+			k.Pools = append(k.Pools, r.integer(pools+"."+strconv.Itoa(j), 0, 0, maxInt))
 		}
 		if k.GoalTime <= 0 {
-			r.fail(key+"goalTimeMs", "a time above 0 is wanted")
+			r.fail(key+"goalTimeMs", "must be above 0")
 		}
 		if k.Deadline <= 0 {
-			r.fail(key+"deadlineMs", "a time above 0 is wanted")
+			r.fail(key+"deadlineMs", "must be above 0")
 		}
-		name := r.text(key+"name", "")
-		if _, twice := s.Classes[name]; twice || name == "" {
-			r.fail(key+"name", fmt.Sprintf("%q is empty or stands twice", name))
+		name := r.stringOr(key+"name", "")
+		if _, duplicate := s.Classes[name]; duplicate || name == "" {
+			r.fail(key+"name", fmt.Sprintf("%q is empty or a duplicate", name))
 		}
 		s.Classes[name] = i
 		s.Routing.Classes = append(s.Routing.Classes, k)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,7 @@
 	"violetspan.example/violetspan/routing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:5070","seed":"8c1f30d27a5be964","limits":{"sockets":4096,"memory_mb":192},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5070","seed":"8c1f30d27a5be964","limits":{"sockets":4096,"memory_mb":192},
 "channel":"127.0.0.1:2379","known":{"cursor":3,"cmds":[]},"peers":["127.0.0.1:1"],
 "settings":{"fleetSize":4,"realms":[{"name":"main-lot","share":0.51}],"classes":[{"name":"space-check","goalTimeMs":2000.0,"deadlineMs":9000,"worth":1}],
 "extra":{"here":2,"releaseMs":500,"resendMs":800,"widths":[4],"classHoldMs":[11400.5],"topology":"meshed"},
@@ -24,7 +24,7 @@
 "rules":{"coldShare":0.29,"rampTimeMs":15000,"fallMultiple":4,"overloadForMs":2000,"answerSlackMs":20}}}`
 
 func TestParse(t *testing.T) {
-	got, err := Parse([]byte(good))
+	got, err := Parse([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 
 func TestFromEnv(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(file, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ config, name, listen, want string }{
@@ -62,17 +62,17 @@
 	}
 }
 
-// Every error must name the key at fault.
+// Every error must name the faulty key.
 func TestParseNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:5070"`, `"listen":"nowhere"`, "key listen:"},
 		{`"channel":"127.0.0.1:2379",`, ``, "key channel: missing"},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"green"`, "key seed:"},
-		{`"seed":"8c1f30d27a5be964"`, `"seed":12`, "key seed: a text"},
-		{`"sockets":4096`, `"sockets":"many"`, "key limits.sockets: a number"},
-		{`"sockets":4096`, `"sockets":3`, "key limits.sockets: 3 is not from"},
+		{`"seed":"8c1f30d27a5be964"`, `"seed":12`, "key seed: must be a string"},
+		{`"sockets":4096`, `"sockets":"many"`, "key limits.sockets: must be a number"},
+		{`"sockets":4096`, `"sockets":3`, "key limits.sockets: 3 is out of range"},
 		{`"known":{"cursor":3,"cmds":[]}`, `"known":7`, "key known:"},
-		{`"fleetSize":4`, `"fleetSize":2.5`, "key settings.fleetSize: 2.5 is not a whole"},
+		{`"fleetSize":4`, `"fleetSize":2.5`, "key settings.fleetSize: 2.5 is not an integer"},
 		{`"goalTimeMs":2000.0`, `"goalTimeMs":0`, "key settings.classes.0.goalTimeMs:"},
 		{`"deadlineMs":9000,`, ``, "key settings.classes.0.deadlineMs:"},
 		{`"name":"space-check",`, ``, "key settings.classes.0.name:"},
@@ -83,9 +83,9 @@
 		{`"classes":[`, `"clashes":[`, "key settings.classes:"},
 		{`{"name":"n3"`, `{"name":"n3`, "not valid JSON"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
-			t.Errorf("%s is not in the text", c.from)
+		text := strings.Replace(validConfig, c.from, c.to, 1)
+		if text == validConfig {
+			t.Errorf("%s does not occur in the configuration", c.from)
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q in it", c.to, err, c.want)
@@ -93,13 +93,13 @@
 	}
 }
 
-const service = `{"callapi":{"listen":"127.0.0.1:0"},"admin":{"listen":"127.0.0.1:0"},"inventory":"inv.csv"}`
+const validService = `{"callapi":{"listen":"127.0.0.1:0"},"admin":{"listen":"127.0.0.1:0"},"inventory":"inv.csv"}`
 
 func TestParseService(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"VIOLETSPAN_ADMIN_TOKEN": "0123456789abcdef", "SHORT": "short"}[name]
 	}
-	got, err := ParseService([]byte(service), env)
+	got, err := ParseService([]byte(validService), env)
 	want := &Service{CallListen: "127.0.0.1:0", AnswerRetention: time.Minute, MaxStoredCalls: 20000, MaxConns: 256,
 		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken("0123456789abcdef"), Inventory: "inv.csv"}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
@@ -107,25 +107,25 @@
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{`"callapi":{"listen":"127.0.0.1:0"}`, `"callapi":{}`, "key callapi.listen: missing"},
-		{`"callapi":{`, `"callapi":{"colour":"red",`, "key callapi.colour: not known"},
-		{`{"callapi"`, `{"colour":true,"callapi"`, "key colour: not known"},
+		{`"callapi":{`, `"callapi":{"colour":"red",`, "key callapi.colour: unknown key"},
+		{`{"callapi"`, `{"colour":true,"callapi"`, "key colour: unknown key"},
 		{`{"callapi"`, `{"tls":{"cert":"a.pem"},"callapi"`, "key tls.key: missing"},
 		{`"admin":{`, `"admin":{"token_env":"SHORT",`, "key admin.token_env: the variable SHORT"},
 		{`"inv.csv"`, `""`, "key inventory: missing"},
 		{`"callapi":{`, `"callapi":{"keep_answers_s":0,`, "key callapi.keep_answers_s:"},
 		{`{"callapi"`, `{"plan":{},"callapi"`, "key plan.file: missing"},
-		{`{"callapi"`, `{"plan":{"measure":true,"every":1},"callapi"`, "key plan.every: not known"},
+		{`{"callapi"`, `{"plan":{"measure":true,"every":1},"callapi"`, "key plan.every: unknown key"},
 		{`{"callapi"`, `{"plan":{"measure":true,"margin":0},"callapi"`, "key plan.margin:"},
 		{`{"callapi"`, `{"plan":{"measure":true,"blocking":1},"callapi"`, "key plan.blocking:"},
 		{`{"callapi"`, `{"plan":{"measure":"yes"},"callapi"`, "key plan.measure:"},
 	} {
-		if _, err := ParseService([]byte(strings.Replace(service, c.from, c.to, 1)), env); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseService([]byte(strings.Replace(validService, c.from, c.to, 1)), env); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q in it", c.to, err, c.want)
 		}
 	}
 }
 
-// A plan's settings have defaults, and its file stands beside the service's.
+// Plan settings have defaults, and a relative plan file is relative to the service file.
 func TestPlanSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "service.json")
 	text := `{"callapi":{"listen":"127.0.0.1:0"},"inventory":"inv.csv","plan":{"file":"plan.json","every_s":30}}`
@@ -144,7 +144,7 @@
 	}
 }
 
-// What stands under deploy/ must be readable, with its inventory beside it.
+// The service file under deploy/ must load and name the inventory beside it.
 func TestDeployedServiceFile(t *testing.T) {
 	s, err := LoadService("../../deploy/service.json", func(string) string { return "0123456789abcdef" })
 	if err != nil {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Guards against bounds that a small machine can't hold: what each kind may take
-// stays within a quarter of the memory, and connections within half the descriptors.
+// Guards against limits that exceed a small machine: connections, open set-ups and calls
+// may each take at most a quarter of the memory, and connections half of the descriptors.
 func TestBoundsFollowTheLimits(t *testing.T) {
 	for _, c := range []struct {
 		memory, sockets int
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever making the one who logs wait.
+// Package logs writes log lines asynchronously, so that logging never blocks the caller.
 package logs
 
 import (
@@ -8,13 +8,13 @@
 	"sync/atomic"
 )
 
-// Writer hands lines to another writer from a queue of its own. It drops lines,
-// and counts them, while the queue is full.
+// Writer queues lines and writes them to another writer from its own goroutine. While the
+// queue is full, it drops lines and counts them.
 //
-// It guards against a reader of the log that stalls: a line written under the
-// core's lock would then hold up every call.
+// Without it, a stalled reader of the log would block a line that is written under the
+// core's lock, and with it every call. Writer is safe for concurrent use.
 type Writer struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	quit    chan struct{}
@@ -22,9 +22,9 @@
 	once    sync.Once
 }
 
-// New makes a writer with room for so many lines.
-func New(to io.Writer, room int) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, room), quit: make(chan struct{}), done: make(chan struct{})}
+// New returns a Writer whose queue has room for capacity lines, and starts its goroutine.
+func New(out io.Writer, capacity int) *Writer {
+	w := &Writer{out: out, lines: make(chan []byte, capacity), quit: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -39,7 +39,7 @@
 	return len(b), nil
 }
 
-// Close writes what is queued and ends. What is written later is lost.
+// Close writes the queued lines and stops the writer. Lines written later are lost.
 func (w *Writer) Close() error {
 	w.once.Do(func() { close(w.quit) })
 	<-w.done
@@ -51,21 +51,21 @@
 	for {
 		select {
 		case b := <-w.lines:
-			w.put(b)
+			w.writeLine(b)
 		case <-w.quit:
 			for len(w.lines) > 0 {
-				w.put(<-w.lines)
+				w.writeLine(<-w.lines)
 			}
 			return
 		}
 	}
 }
 
-func (w *Writer) put(b []byte) {
+func (w *Writer) writeLine(b []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(w.to, "level=WARN msg=\"lines dropped\" lines=%d\n", n)
+		fmt.Fprintf(w.out, "level=WARN msg=\"lines dropped\" lines=%d\n", n)
 	}
-	if _, err := w.to.Write(b); err != nil {
+	if _, err := w.out.Write(b); err != nil {
 		w.dropped.Add(1)
 	}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -7,34 +7,34 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// gate is a writer that stalls until it is opened.
-type gate struct {
+// blockingWriter blocks each write until open is closed.
+type blockingWriter struct {
 	open, entered chan struct{}
 	bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (out *blockingWriter) Write(b []byte) (int, error) {
 	select {
-	case g.entered <- struct{}{}:
+	case out.entered <- struct{}{}:
 	default:
 	}
-	<-g.open
-	return g.Buffer.Write(b)
+	<-out.open
+	return out.Buffer.Write(b)
 }
 
-// A log whose reader stalls must not hold up the one who logs.
+// Guards against a stalled reader of the log blocking the goroutine that logs.
 func TestStalledReaderDropsLines(t *testing.T) {
-	g := &gate{open: make(chan struct{}), entered: make(chan struct{}, 1)}
-	w := New(g, 2)
+	out := &blockingWriter{open: make(chan struct{}), entered: make(chan struct{}, 1)}
+	w := New(out, 2)
 	w.Write([]byte("first\n"))
-	<-g.entered // the writer is stuck in it now, and the queue holds two more
+	<-out.entered // the goroutine is blocked in the first write; the queue has room for two more lines
 	for _, line := range []string{"second\n", "third\n", "lost\n", "lost\n"} {
 		w.Write([]byte(line))
 	}
-	close(g.open)
+	close(out.open)
 	w.Close()
 	want := "first\nlevel=WARN msg=\"lines dropped\" lines=2\nsecond\nthird\n"
-	if diff := cmp.Diff(want, g.String()); diff != "" {
+	if diff := cmp.Diff(want, out.String()); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,8 +1,8 @@
-// Package metrics counts what a proxy does, for scraping (the administration API's
-// /metrics) and for the log of a proxy that nobody scrapes.
+// Package metrics defines a proxy's metrics. They are exposed at the administration API's
+// /metrics and logged by proxies that are not scraped.
 //
-// Every label has a closed set of values, named here: no id, address or text of a
-// peer is ever a label.
+// Every label has a fixed set of values. Ids, addresses and texts from peers are never
+// used as label values.
 package metrics
 
 import (
@@ -14,7 +14,7 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Labels of Set.Dials: how a dial to a switch went.
+// Values of the label of Set.Dials: the result of a dial to a switch.
 const (
 	DialConnected = "up"
 	DialRefused   = "refused"
@@ -22,7 +22,7 @@
 	DialOther     = "other"
 )
 
-// Labels of Set.SwitchConnsClosed: why a connection to a switch ended.
+// Values of the label of Set.SwitchConnsClosed: why a connection to a switch was closed.
 const (
 	CloseByPeer   = "peer_closed"
 	CloseBroken   = "broken"
@@ -31,7 +31,7 @@
 	CloseRemoved  = "removed"
 )
 
-// Labels of Set.CallerConnsClosed: why a connection from callers ended.
+// Values of the label of Set.CallerConnsClosed: why a connection from callers was closed.
 const (
 	CallerClosed    = "peer_closed"
 	CallerBroken    = "broken"
@@ -42,7 +42,7 @@
 	CallerDrained   = "drained"
 )
 
-// Labels of Set.Releases: what became of releases towards callers.
+// Values of the label of Set.Releases: what happened to releases to callers.
 const (
 	ReleaseSent           = "sent"
 	ReleaseRepeated       = "repeated"
@@ -52,7 +52,7 @@
 	ReleaseNoRoom         = "no_room"
 )
 
-// Labels of Set.Polls: how a call to discovery went.
+// Values of the label of Set.Polls: the result of a discovery poll.
 const (
 	PollEvents  = "events"
 	PollEmpty   = "empty"
@@ -61,56 +61,59 @@
 	PollMoved   = "moved"
 )
 
-// Set holds one proxy's metrics. Make one with New. Safe for concurrent use.
+// Set contains the metrics of one proxy. Use New to create one. It is safe for concurrent
+// use.
 type Set struct {
 	registry *prometheus.Registry
 
 	FinalAnswers      *prometheus.CounterVec // by result
 	CallEnds          *prometheus.CounterVec // by reason
-	Attempts          *prometheus.CounterVec // by result, as the policy hears it
-	SetUpsHeldBack    prometheus.Counter     // set-ups that a rule kept from being sent
+	Attempts          *prometheus.CounterVec // by result, as reported to the controller
+	SetUpsHeldBack    prometheus.Counter     // set-ups that a rule held back
 	Dials             *prometheus.CounterVec // by result
-	SwitchStates      *prometheus.CounterVec // transitions, by the state entered
+	SwitchStates      *prometheus.CounterVec // state transitions, by the new state
 	SwitchConnsClosed *prometheus.CounterVec // by reason
 	CallerConnsClosed *prometheus.CounterVec // by reason
 	Releases          *prometheus.CounterVec // by result
 	Polls             *prometheus.CounterVec // by result
 }
 
-// New makes a set with a registry of its own.
+// New returns a Set with its own registry.
 func New() *Set {
 	s := &Set{registry: prometheus.NewRegistry()}
-	s.FinalAnswers = s.vector("violetspan_calls_final_answers_total", "Final answers given to callers.", "result")
-	s.CallEnds = s.vector("violetspan_calls_ends_total", "Ends of calls that stood.", "reason")
-	s.Attempts = s.vector("violetspan_attempts_total", "Set-ups sent to switches, by their result.", "result")
-	s.Dials = s.vector("violetspan_switch_dials_total", "Dials to switches.", "result")
-	s.SwitchStates = s.vector("violetspan_switch_state_changes_total", "Switches that entered a liveness state.", "state")
-	s.SwitchConnsClosed = s.vector("violetspan_switch_connections_closed_total", "Connections to switches that ended.", "reason")
-	s.CallerConnsClosed = s.vector("violetspan_caller_connections_closed_total", "Connections from callers that ended.", "reason")
-	s.Releases = s.vector("violetspan_caller_releases_total", "Releases of calls that stood, towards callers.", "result")
-	s.Polls = s.vector("violetspan_discovery_polls_total", "Calls to discovery.", "result")
+	s.FinalAnswers = s.counterVec("violetspan_calls_final_answers_total", "Final answers given to callers.", "result")
+	s.CallEnds = s.counterVec("violetspan_calls_ends_total", "Ends of calls that stood.", "reason")
+	s.Attempts = s.counterVec("violetspan_attempts_total", "Set-ups sent to switches, by their result.", "result")
+	s.Dials = s.counterVec("violetspan_switch_dials_total", "Dials to switches.", "result")
+	s.SwitchStates = s.counterVec("violetspan_switch_state_changes_total", "Switches that entered a liveness state.", "state")
+	s.SwitchConnsClosed = s.counterVec("violetspan_switch_connections_closed_total", "Connections to switches that ended.", "reason")
+	s.CallerConnsClosed = s.counterVec("violetspan_caller_connections_closed_total", "Connections from callers that ended.", "reason")
+	s.Releases = s.counterVec("violetspan_caller_releases_total", "Releases of calls that stood, towards callers.", "result")
+	s.Polls = s.counterVec("violetspan_discovery_polls_total", "Calls to discovery.", "result")
 	s.SetUpsHeldBack = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "violetspan_attempts_held_back_total", Help: "Set-ups that a rule kept from being sent."})
 	s.registry.MustRegister(s.SetUpsHeldBack)
 	return s
 }
 
-func (s *Set) vector(name, help, label string) *prometheus.CounterVec {
+func (s *Set) counterVec(name, help, label string) *prometheus.CounterVec {
 	v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{label})
 	s.registry.MustRegister(v)
 	return v
 }
 
-// Gauge registers a figure that is asked for when it is wanted. The function may be
-// called by any goroutine.
+// Gauge registers a gauge whose value is read by a function at each scrape. The function
+// may be called from any goroutine.
 func (s *Set) Gauge(name, help string, value func() float64) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// Gatherer returns what a scrape handler asks.
+// Gatherer returns the source of the metrics for a scrape handler.
 func (s *Set) Gatherer() prometheus.Gatherer { return s.registry }
 
-// Attrs returns every counter above zero as log attributes, named by metric and label.
+// Attrs returns every non-zero metric as a log attribute, sorted by name. Its name is the
+// metric's, without the prefix violetspan_ and the suffix _total, joined with the label's
+// value by an underscore. If the metrics can't be gathered, it returns only the error.
 func (s *Set) Attrs() []slog.Attr {
 	families, err := s.registry.Gather()
 	if err != nil {
@@ -120,8 +123,8 @@
 	for _, family := range families {
 		name := strings.TrimPrefix(strings.TrimSuffix(family.GetName(), "_total"), "violetspan_")
 		for _, m := range family.GetMetric() {
-			if value := value(m); value != 0 {
-				attrs = append(attrs, slog.Float64(strings.Join(append([]string{name}, labels(m)...), "_"), value))
+			if value := metricValue(m); value != 0 {
+				attrs = append(attrs, slog.Float64(strings.Join(append([]string{name}, labelValues(m)...), "_"), value))
 			}
 		}
 	}
@@ -129,14 +132,14 @@
 	return attrs
 }
 
-func value(m *dto.Metric) float64 {
+func metricValue(m *dto.Metric) float64 {
 	if c := m.GetCounter(); c != nil {
 		return c.GetValue()
 	}
 	return m.GetGauge().GetValue()
 }
 
-func labels(m *dto.Metric) (values []string) {
+func labelValues(m *dto.Metric) (values []string) {
 	for _, l := range m.GetLabel() {
 		values = append(values, l.GetValue())
 	}
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads files that people and configuration tools write: bounded, and
-// with errors that name file, line and key.
+// Package strict reads files that are written by people and configuration tools. It limits
+// their size, and its errors name the file, line and key.
 package strict
 
 import (
@@ -12,44 +12,45 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ReadFile returns a file's content, or an error if it holds more than most bytes.
-func ReadFile(path string, most int) ([]byte, error) {
+// ReadFile returns the content of a file. It fails if the file is longer than maxBytes.
+func ReadFile(path string, maxBytes int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
-	if err == nil && len(b) > most {
-		err = KeyError(path, 1, "file", fmt.Sprintf("longer than %d bytes", most))
+	b, err := io.ReadAll(io.LimitReader(f, int64(maxBytes)+1))
+	if err == nil && len(b) > maxBytes {
+		err = KeyError(path, 1, "file", fmt.Sprintf("longer than %d bytes", maxBytes))
 	}
 	return b, err
 }
 
-// KeyError is the error of one key.
+// KeyError returns an error for one key: "FILE:LINE: key KEY: reason".
 func KeyError(file string, line int, key, why string) error {
 	return fmt.Errorf("%s:%d: key %s: %s", file, max(1, line), key, why)
 }
 
-// Document returns the root of a YAML text that holds one document. root is the key
-// that an empty text lacks.
+// Document returns the root node of a YAML text, which must contain exactly one document.
+// The error for an empty text names the key root.
 func Document(file string, b []byte, root string) (*yaml.Node, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(b))
-	var doc, more yaml.Node
+	var doc, extra yaml.Node
 	if err := dec.Decode(&doc); errors.Is(err, io.EOF) {
 		return nil, KeyError(file, 1, root, "missing")
 	} else if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if err := dec.Decode(&more); !errors.Is(err, io.EOF) {
-		return nil, KeyError(file, more.Line, root, "one document is wanted")
+	if err := dec.Decode(&extra); !errors.Is(err, io.EOF) {
+		return nil, KeyError(file, extra.Line, root, "one document is wanted")
 	}
 	return doc.Content[0], nil
 }
 
-// ForEachEntry walks a mapping, whose key is name; an empty node is an empty one, and an alias
-// is what it stands for. line is that of the key.
-func ForEachEntry(file, name string, n *yaml.Node, do func(key string, line int, v *yaml.Node) error) error {
+// ForEachEntry calls handle for each entry of a mapping, with the line of the entry's key,
+// until one returns an error. A nil or null node counts as an empty mapping, and an alias
+// is resolved. name is the mapping's own key, for errors.
+func ForEachEntry(file, name string, n *yaml.Node, handle func(key string, line int, v *yaml.Node) error) error {
 	if n == nil || n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
 		return nil
 	}
@@ -66,7 +67,7 @@
 		if v.Kind == yaml.AliasNode {
 			v = v.Alias
 		}
-		if err := do(key.Value, key.Line, v); err != nil {
+		if err := handle(key.Value, key.Line, v); err != nil {
 			return err
 		}
 	}
