--- a/cmd/violetspan/lab.go
+++ b/cmd/violetspan/lab.go
@@ -29,14 +29,14 @@
 func (c *labCostCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	costs, err := lab.SolveCost(c.Sizes, c.Gap, func() bool { return ctx.Err() != nil })
+	costs, err := lab.MeasureSolves(c.Sizes, c.Gap, func() bool { return ctx.Err() != nil })
 	for _, n := range costs {
-		fmt.Printf("%d switches, %d paths: %v, %d steps, gap %.3g\n", n.Size, n.Paths, n.Took.Round(time.Millisecond), n.Steps, n.Gap)
+		fmt.Printf("%d switches, %d paths: %v, %d steps, gap %.3g\n", n.Size, n.Paths, n.Duration.Round(time.Millisecond), n.Steps, n.Gap)
 	}
 	if err != nil {
 		return err
 	}
-	return lab.WriteCost(c.Out, costs)
+	return lab.WriteSolveCosts(c.Out, costs)
 }
 
 type labRunCmd struct {
@@ -57,7 +57,7 @@
 	bar := progressbar.NewOptions(len(e.Sizes)*e.Seeds*len(e.Policies), progressbar.OptionSetWriter(os.Stderr),
 		progressbar.OptionSetDescription(e.Name), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish(),
 		progressbar.OptionSetVisibility(terminal(os.Stderr)))
-	runs, err := e.Do(ctx, func(done, all int) { _ = bar.Set(done) })
+	runs, err := e.Run(ctx, func(done, all int) { _ = bar.Set(done) })
 	if err != nil {
 		return err
 	}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -16,7 +16,7 @@
 func main() {
 	policy := flag.String("policy", "module", "module, even or direct")
 	flag.Parse()
-	factory, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct}[*policy]
+	factory, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.NewEvenPolicy, "direct": mesh.NewDirectPolicy}[*policy]
 	if !ok {
 		fmt.Fprintf(os.Stderr, "wirehost: -policy: %q is none of module, even and direct\n", *policy)
 		os.Exit(2)
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -16,34 +16,34 @@
 	"violetspan.example/violetspan/decide/plan"
 )
 
-// Cost is what one solve took.
-type Cost struct {
+// SolveCost is what one solve took.
+type SolveCost struct {
 	Size, Paths, Steps, Stages int
-	Took                       time.Duration
+	Duration                   time.Duration
 	Gap                        float64
 }
 
-// SolveCost solves one drawn full mesh of each size, at 110% of plan.
-func SolveCost(sizes []int, gap float64, stop func() bool) ([]Cost, error) {
-	var out []Cost
+// MeasureSolves solves one drawn full mesh of each size, at 110% of plan.
+func MeasureSolves(sizes []int, gap float64, stop func() bool) ([]SolveCost, error) {
+	var out []SolveCost
 	for _, n := range sizes {
 		if n < 3 || n > plan.MaxSwitches {
 			return out, fmt.Errorf("size %d is not from 3 to %d", n, plan.MaxSwitches)
 		}
-		c := Draw(n, 1.1, time.Second, 1)
-		p := Problem(&c, 0.2)
+		c := DrawConfig(n, 1.1, time.Second, 1)
+		p := NewProblem(&c, 0.2)
 		from := time.Now()
 		a, err := plan.Solve(p, plan.Options{Gap: gap, Stop: stop})
 		if err != nil {
 			return out, fmt.Errorf("size %d: %w", n, err)
 		}
-		out = append(out, Cost{n, len(p.Demands) * (n - 1), a.Steps, a.Stages, time.Since(from), a.Gap})
+		out = append(out, SolveCost{n, len(p.Demands) * (n - 1), a.Steps, a.Stages, time.Since(from), a.Gap})
 	}
 	return out, nil
 }
 
-// WriteCost writes solve-cost.csv and solve-cost.svg into a folder.
-func WriteCost(dir string, costs []Cost) error {
+// WriteSolveCosts writes solve-cost.csv and solve-cost.svg into a folder.
+func WriteSolveCosts(dir string, costs []SolveCost) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -55,9 +55,9 @@
 	rows := [][]string{{"switches", "paths", "seconds", "steps", "objectives", "gap"}}
 	var xy plotter.XYs
 	for _, c := range costs {
-		rows = append(rows, []string{strconv.Itoa(c.Size), strconv.Itoa(c.Paths), strconv.FormatFloat(c.Took.Seconds(), 'g', 4, 64),
+		rows = append(rows, []string{strconv.Itoa(c.Size), strconv.Itoa(c.Paths), strconv.FormatFloat(c.Duration.Seconds(), 'g', 4, 64),
 			strconv.Itoa(c.Steps), strconv.Itoa(c.Stages), strconv.FormatFloat(c.Gap, 'g', 3, 64)})
-		xy = append(xy, plotter.XY{X: float64(c.Size), Y: c.Took.Seconds()})
+		xy = append(xy, plotter.XY{X: float64(c.Size), Y: c.Duration.Seconds()})
 	}
 	if err := errors.Join(w.WriteAll(rows), f.Close()); err != nil {
 		return fmt.Errorf("lab: solve-cost.csv: %w", err)
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -17,23 +17,23 @@
 // a look, the set-up, the answer and the release.
 const perSetUps = 0.2 + 1 + 0.35 + 0.35
 
-// Draw draws an installation of n exchanges in one yard as the operators describe
+// DrawConfig draws an installation of n exchanges in one yard as the operators describe
 // theirs, with its calls: groups sized for a plan that the traffic misses pair by
 // pair, wanted circuits at load times the plan. The seed decides all of it.
-func Draw(n int, load float64, length time.Duration, seed uint64) mesh.Config {
+func DrawConfig(n int, load float64, length time.Duration, seed uint64) mesh.Config {
 	r := rand.New(rand.NewPCG(seed, uint64(n)))
 	span := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	dur := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	hold := span(10, 13)
 	c := mesh.Config{Seed: seed, Length: length, Exchanges: n,
 		Classes: []mesh.Class{
-			{Name: "space-check", Width: 1, Hold: dur(hold), Goal: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25},
-			{Name: "shuttle-video", Width: 4, Hold: dur(1.6 * hold), Goal: 2500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 2, LateShare: 0.1}},
-		Work: mesh.Work{Look: 0.2, Answer: 0.35, Release: 0.35, Reject: 0.2, Repeat: 0.45},
-		Link: [2]time.Duration{3 * time.Millisecond, 8 * time.Millisecond}, Swing: span(0.064, 0.19), Period: dur(span(15, 30)),
-		DriftCV: span(0.37, 0.64), DriftGap: [2]time.Duration{13 * time.Second, 19 * time.Second},
-		TryShare: span(0.3, 0.4), Redials: 2 + r.IntN(2), Backoff: [2]time.Duration{670 * time.Millisecond, 1500 * time.Millisecond},
-		Notice: [2]time.Duration{1500 * time.Millisecond, 4200 * time.Millisecond}, ColdShare: span(0.29, 0.47), ColdRamp: dur(span(8.3, 15))}
+			{Name: "space-check", Width: 1, Hold: dur(hold), GoalTime: 2 * time.Second, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25},
+			{Name: "shuttle-video", Width: 4, Hold: dur(1.6 * hold), GoalTime: 2500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 2, LateShare: 0.1}},
+		Work:      mesh.Work{Lookup: 0.2, Answer: 0.35, Release: 0.35, Reject: 0.2, Repeat: 0.45},
+		LinkDelay: [2]time.Duration{3 * time.Millisecond, 8 * time.Millisecond}, WaveAmplitude: span(0.064, 0.19), WavePeriod: dur(span(15, 30)),
+		DriftCV: span(0.37, 0.64), DriftInterval: [2]time.Duration{13 * time.Second, 19 * time.Second},
+		TryShare: span(0.3, 0.4), MaxRedials: 2 + r.IntN(2), Backoff: [2]time.Duration{670 * time.Millisecond, 1500 * time.Millisecond},
+		ListDelay: [2]time.Duration{1500 * time.Millisecond, 4200 * time.Millisecond}, ColdCapacity: span(0.29, 0.47), WarmUpTime: dur(span(8.3, 15))}
 	video := span(0.72, 1.1) / span(5.6, 8.8) // calls of the wide class for each narrow one
 	circuits := [2]float64{hold / (1 + video), 4 * 1.6 * hold * video / (1 + video)}
 	perCall := circuits[0] + circuits[1]
@@ -83,18 +83,18 @@
 		mean += t / float64(n)
 	}
 	for range n {
-		c.SetUp = append(c.SetUp, dur(use/(mean*perSetUps)))
+		c.SetUpWork = append(c.SetUpWork, dur(use/(mean*perSetUps)))
 		c.MaxWait = append(c.MaxWait, dur(span(1, 3.1)))
 	}
 	return c
 }
 
-// Trouble adds n troubles of the operators' record to a day.
-func Trouble(c *mesh.Config, n int) {
+// AddFaults adds n troubles of the operators' record to a day.
+func AddFaults(c *mesh.Config, n int) {
 	r := rand.New(rand.NewPCG(c.Seed, 4242))
 	span := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	for range n {
-		t := mesh.Trouble{}
+		t := mesh.Fault{}
 		length, some := 0.0, 0.0
 		switch r.IntN(5) {
 		case 0: // calls jump
@@ -102,33 +102,33 @@
 		case 1: // one exchange suddenly gets a large share
 			t.Burst, length, some = 1+span(0.083, 0.23)*float64(c.Exchanges), span(11, 28), 0.01
 		case 2: // other work takes a part of some processors
-			t.Slow, length, some = 1/(1-span(0.34, 0.67)), span(20, 38)/2, span(0.11, 0.49)
+			t.Slowdown, length, some = 1/(1-span(0.34, 0.67)), span(20, 38)/2, span(0.11, 0.49)
 		case 3: // all are slower
-			t.Slow, length = span(1.3, 3), span(3.3, 14)
+			t.Slowdown, length = span(1.3, 3), span(3.3, 14)
 		default: // some are slower
-			t.Slow, length, some = span(1.5, 4), span(10, 34), span(0.18, 0.34)
+			t.Slowdown, length, some = span(1.5, 4), span(10, 34), span(0.18, 0.34)
 		}
 		if some > 0 {
 			t.Exchanges = r.Perm(c.Exchanges)[:max(1, int(math.Round(some*float64(c.Exchanges))))]
 		}
 		t.From = time.Duration(r.Float64() * 0.7 * float64(c.Length))
 		t.To = min(c.Length, t.From+time.Duration(length*float64(time.Second)))
-		c.Troubles = append(c.Troubles, t)
+		c.Faults = append(c.Faults, t)
 	}
 }
 
 func name(x int) string { return fmt.Sprintf("x%03d", x) }
 
-// Problem states the mesh that a config emulates for the planner: what callers want
+// NewProblem states the mesh that a config emulates for the planner: what callers want
 // on average, with nothing of drift, waves or troubles, since nobody knows them ahead.
-func Problem(c *mesh.Config, target float64) *plan.Problem {
+func NewProblem(c *mesh.Config, target float64) *plan.Problem {
 	p := &plan.Problem{Target: target, Costs: plan.Costs{Tandem: 0.02}}
 	for _, k := range c.Classes {
 		p.Classes = append(p.Classes, plan.Class{ID: k.Name, Width: k.Width, Hold: k.Hold.Seconds(), Worth: k.Worth})
 	}
-	per := 1 + c.Work.Look + c.Work.Answer + c.Work.Release
+	per := 1 + c.Work.Lookup + c.Work.Answer + c.Work.Release
 	for x := range c.Exchanges {
-		p.Switches = append(p.Switches, plan.Switch{ID: name(x), SetUps: 1 / (per * c.SetUp[x].Seconds())})
+		p.Switches = append(p.Switches, plan.Switch{ID: name(x), SetUps: 1 / (per * c.SetUpWork[x].Seconds())})
 	}
 	for _, g := range c.Groups {
 		p.Groups = append(p.Groups, plan.Group{A: name(g.A), B: name(g.B), Circuits: g.Circuits})
@@ -139,10 +139,10 @@
 	return p
 }
 
-// Planned solves for a config and returns the event that each exchange's module is
+// PlanEvents solves for a config and returns the event that each exchange's module is
 // told, valid until past the end.
-func Planned(c *mesh.Config, target float64, guards bool) ([]routing.PlanUpdated, *plan.Answer, error) {
-	p := Problem(c, target)
+func PlanEvents(c *mesh.Config, target float64, guards bool) ([]routing.PlanUpdated, *plan.Answer, error) {
+	p := NewProblem(c, target)
 	a, err := plan.Solve(p, plan.Options{})
 	if err != nil {
 		return nil, nil, err
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -15,15 +15,15 @@
 // Experiment is what a file asks for. Each size and seed is one installation and one
 // day, played once by each policy.
 type Experiment struct {
-	Name      string
-	Sizes     []int    // exchanges
-	Load      float64  // against the plan that the groups were sized for
-	LengthS   float64  // of a day, seconds
-	Seeds     int      // days for each size
-	FirstSeed uint64   // of them
-	Troubles  int      // of the operators' record, for each day
-	Target    float64  // blocking at which the planner counts a group as full
-	Policies  []string // the first is compared with each of the others
+	Name           string
+	Sizes          []int    // exchanges
+	Load           float64  // against the plan that the groups were sized for
+	LengthSeconds  float64  // of a day, seconds
+	Seeds          int      // days for each size
+	FirstSeed      uint64   // of them
+	Faults         int      // of the operators' record, for each day
+	TargetBlocking float64  // blocking at which the planner counts a group as full
+	Policies       []string // the first is compared with each of the others
 }
 
 // Bounds and defaults of an experiment.
@@ -36,10 +36,10 @@
 	maxTrouble = 8
 )
 
-// Default is an experiment whose file says nothing.
-func Default() *Experiment {
-	return &Experiment{Name: "experiment", Sizes: []int{5, 7, 9}, Load: 1.1, LengthS: 50, Seeds: 30, FirstSeed: 1, Target: 0.2,
-		Policies: []string{PolicyWeights, PolicyModule, PolicyEven}}
+// DefaultExperiment is an experiment whose file says nothing.
+func DefaultExperiment() *Experiment {
+	return &Experiment{Name: "experiment", Sizes: []int{5, 7, 9}, Load: 1.1, LengthSeconds: 50, Seeds: 30, FirstSeed: 1, TargetBlocking: 0.2,
+		Policies: []string{PolicyWeights, PolicyController, PolicyEven}}
 }
 
 // Load reads an experiment's file.
@@ -56,7 +56,7 @@
 	bad := func(line int, key, format string, args ...any) error {
 		return strict.Bad(name, line, key, fmt.Sprintf(format, args...))
 	}
-	e := Default()
+	e := DefaultExperiment()
 	root, err := strict.Document(name, b, "name")
 	if err != nil {
 		return nil, err
@@ -87,9 +87,9 @@
 		case "load":
 			err = num(v, key, 0.01, maxLoad, &e.Load)
 		case "length_s":
-			err = num(v, key, 1, maxLengthS, &e.LengthS)
+			err = num(v, key, 1, maxLengthS, &e.LengthSeconds)
 		case "blocking":
-			err = num(v, key, 0, 0.9, &e.Target)
+			err = num(v, key, 0, 0.9, &e.TargetBlocking)
 		case "seeds":
 			err = whole(v, key, 1, maxSeeds, &e.Seeds)
 		case "first_seed":
@@ -97,7 +97,7 @@
 			err = whole(v, key, 0, math.MaxInt32, &n)
 			e.FirstSeed = uint64(n)
 		case "troubles":
-			err = whole(v, key, 0, maxTrouble, &e.Troubles)
+			err = whole(v, key, 0, maxTrouble, &e.Faults)
 		case "sizes", "policies":
 			if v.Kind != yaml.SequenceNode || len(v.Content) == 0 || len(v.Content) > 16 {
 				return bad(v.Line, key, "a list of 1 to 16 is wanted")
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,7 +19,7 @@
 	}
 	text := func() string {
 		calls := 0
-		runs, err := e.Do(context.Background(), func(done, all int) {
+		runs, err := e.Run(context.Background(), func(done, all int) {
 			calls++
 			if done != calls || all != 30 {
 				t.Errorf("%d of %d at call %d", done, all, calls)
@@ -29,10 +29,10 @@
 			t.Fatal(calls, err)
 		}
 		var b bytes.Buffer
-		if err := e.CSV(&b, runs); err != nil {
+		if err := e.WriteCSV(&b, runs); err != nil {
 			t.Fatal(err)
 		}
-		if err := e.Table(&b, runs); err != nil {
+		if err := e.WriteTable(&b, runs); err != nil {
 			t.Fatal(err)
 		}
 		if s := e.Summary(runs); len(s) != 4*len(Metrics) {
@@ -59,21 +59,21 @@
 }
 
 func TestSolveCost(t *testing.T) {
-	costs, err := SolveCost([]int{3, 4}, 0, nil)
+	costs, err := MeasureSolves([]int{3, 4}, 0, nil)
 	if err != nil || len(costs) != 2 || costs[1].Stages != 3 || costs[1].Paths != 24*3 {
 		t.Fatal(costs, err)
 	}
 	dir := t.TempDir()
-	if err := WriteCost(dir, costs); err != nil {
+	if err := WriteSolveCosts(dir, costs); err != nil {
 		t.Fatal(err)
 	}
 	if b, err := os.ReadFile(filepath.Join(dir, "solve-cost.csv")); err != nil || strings.Count(string(b), "\n") != 3 {
 		t.Error(string(b), err)
 	}
-	if _, err := SolveCost([]int{2}, 0, nil); err == nil {
+	if _, err := MeasureSolves([]int{2}, 0, nil); err == nil {
 		t.Error("two switches")
 	}
-	if _, err := SolveCost([]int{5}, 0, func() bool { return true }); err == nil {
+	if _, err := MeasureSolves([]int{5}, 0, func() bool { return true }); err == nil {
 		t.Error("it went on")
 	}
 }
@@ -81,7 +81,7 @@
 func TestStops(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Default().Do(ctx, nil); err == nil {
+	if _, err := DefaultExperiment().Run(ctx, nil); err == nil {
 		t.Error("it went on")
 	}
 }
@@ -136,7 +136,7 @@
 	f.Add([]byte("load: &a 1\nlength_s: *a\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, err := Parse("f", b)
-		if err == nil && (len(e.Sizes) == 0 || len(e.Policies) == 0 || e.Seeds < 1 || !(e.Load > 0) || !(e.LengthS >= 1)) {
+		if err == nil && (len(e.Sizes) == 0 || len(e.Policies) == 0 || e.Seeds < 1 || !(e.Load > 0) || !(e.LengthSeconds >= 1)) {
 			t.Errorf("%+v", e)
 		}
 	})
@@ -145,13 +145,13 @@
 // The emulator ranks three deciders as the simulator does: the module, then never
 // going round, then plain even sharing.
 func TestOrderOfPolicies(t *testing.T) {
-	e := Default()
-	e.Seeds, e.LengthS, e.Policies = 4, 30, []string{PolicyModule, PolicyDirect, PolicyEven}
-	runs, err := e.Do(context.Background(), nil)
+	e := DefaultExperiment()
+	e.Seeds, e.LengthSeconds, e.Policies = 4, 30, []string{PolicyController, PolicyDirect, PolicyEven}
+	runs, err := e.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, pair := range [][2]string{{PolicyModule, PolicyDirect}, {PolicyDirect, PolicyEven}} {
+	for _, pair := range [][2]string{{PolicyController, PolicyDirect}, {PolicyDirect, PolicyEven}} {
 		if d := Compare(runs, pair[0], pair[1])[0]; d.Low <= 0 {
 			t.Errorf("%s against %s: %+v", pair[0], pair[1], d)
 		}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -17,22 +17,22 @@
 
 // Policies by name. Weights and their variants are the module with a plan.
 const (
-	PolicyModule  = "module"  // as it decides without a plan
-	PolicyEven    = "even"    // plain even sharing
-	PolicyDirect  = "direct"  // never by a tandem
-	PolicyWeights = "weights" // the module with a plan's weights and guards
+	PolicyController = "module"  // as it decides without a plan
+	PolicyEven       = "even"    // plain even sharing
+	PolicyDirect     = "direct"  // never by a tandem
+	PolicyWeights    = "weights" // the module with a plan's weights and guards
 	// Parts of it, to tell what does what.
-	PolicyDraw   = "weights-without-guards"
-	PolicyGuards = "guards-without-weights"
+	PolicyWeightsOnly = "weights-without-guards"
+	PolicyGuardsOnly  = "guards-without-weights"
 	// The module with even weights and no guards: even sharing, but throttled.
-	PolicyEvenDraw = "module-even"
+	PolicyEvenWeights = "module-even"
 )
 
 // Policies lists them.
-var Policies = []string{PolicyModule, PolicyEven, PolicyDirect, PolicyWeights, PolicyDraw, PolicyGuards, PolicyEvenDraw}
+var Policies = []string{PolicyController, PolicyEven, PolicyDirect, PolicyWeights, PolicyWeightsOnly, PolicyGuardsOnly, PolicyEvenWeights}
 
-// Run is what one run of an experiment came to.
-type Run struct {
+// RunResult is what one run of an experiment came to.
+type RunResult struct {
 	Size   int
 	Seed   uint64
 	Policy string
@@ -41,18 +41,18 @@
 
 // Metrics that are compared, and how they are read off.
 var Metrics = []struct {
-	Name string
-	Of   func(r *mesh.Result) float64
+	Name  string
+	Value func(r *mesh.Result) float64
 }{
 	{"service", func(r *mesh.Result) float64 { return r.Service }},
-	{"worst 10 s", func(r *mesh.Result) float64 { return r.Worst }},
-	{"worst class", func(r *mesh.Result) float64 { return slices.Min(r.ByClass) }},
-	{"tandem share", func(r *mesh.Result) float64 { return r.Round }},
+	{"worst 10 s", func(r *mesh.Result) float64 { return r.WorstService }},
+	{"worst class", func(r *mesh.Result) float64 { return slices.Min(r.ServiceByClass) }},
+	{"tandem share", func(r *mesh.Result) float64 { return r.TandemShare }},
 }
 
-// Do plays every size, seed and policy, several at once. Progress is called after
+// Run plays every size, seed and policy, several at once. Progress is called after
 // each run, by one goroutine at a time.
-func (e *Experiment) Do(ctx context.Context, progress func(done, all int)) ([]Run, error) {
+func (e *Experiment) Run(ctx context.Context, progress func(done, all int)) ([]RunResult, error) {
 	type job struct {
 		size int
 		seed uint64
@@ -63,7 +63,7 @@
 			jobs = append(jobs, job{n, e.FirstSeed + uint64(s)})
 		}
 	}
-	out := make([]Run, len(jobs)*len(e.Policies))
+	out := make([]RunResult, len(jobs)*len(e.Policies))
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	ticks := make(chan struct{}, len(out))
@@ -77,7 +77,7 @@
 				if err != nil {
 					return fmt.Errorf("size %d, seed %d, policy %s: %w", j.size, j.seed, policy, err)
 				}
-				out[i*len(e.Policies)+k] = Run{j.size, j.seed, policy, r}
+				out[i*len(e.Policies)+k] = RunResult{j.size, j.seed, policy, r}
 				ticks <- struct{}{}
 			}
 			return nil
@@ -101,28 +101,28 @@
 }
 
 func (e *Experiment) one(size int, seed uint64, policy string) (*mesh.Result, error) {
-	c := Draw(size, e.Load, time.Duration(e.LengthS*float64(time.Second)), seed)
-	Trouble(&c, e.Troubles)
-	c.Make = routing.NewPolicy
+	c := DrawConfig(size, e.Load, time.Duration(e.LengthSeconds*float64(time.Second)), seed)
+	AddFaults(&c, e.Faults)
+	c.NewPolicy = routing.NewPolicy
 	switch policy {
 	case PolicyEven:
-		c.Make = mesh.Even
+		c.NewPolicy = mesh.NewEvenPolicy
 	case PolicyDirect:
-		c.Make = mesh.Direct
-	case PolicyWeights, PolicyDraw, PolicyGuards, PolicyEvenDraw:
-		events, _, err := Planned(&c, e.Target, policy == PolicyWeights || policy == PolicyGuards)
+		c.NewPolicy = mesh.NewDirectPolicy
+	case PolicyWeights, PolicyWeightsOnly, PolicyGuardsOnly, PolicyEvenWeights:
+		events, _, err := PlanEvents(&c, e.TargetBlocking, policy == PolicyWeights || policy == PolicyGuardsOnly)
 		if err != nil {
 			return nil, err
 		}
 		for x := range events {
-			if policy == PolicyGuards {
+			if policy == PolicyGuardsOnly {
 				events[x].Weights = nil
 			}
-			if policy == PolicyEvenDraw {
+			if policy == PolicyEvenWeights {
 				events[x].Weights = even(size, x)
 			}
 		}
-		c.Tell = func(x int, now time.Duration) []routing.Event { return []routing.Event{events[x]} }
+		c.ExtraEvents = func(x int, now time.Duration) []routing.Event { return []routing.Event{events[x]} }
 	}
 	return mesh.Run(c)
 }
@@ -142,19 +142,19 @@
 
 // Difference is how one policy does against another in one metric over paired seeds.
 type Difference struct {
-	Size          int // 0: all
-	Metric        string
-	Mine, Other   float64 // means
-	Mean          float64 // of the differences
-	Low, High     float64 // 95% interval, by bootstrap over the pairs
-	Pairs, Better int     // pairs, and those in which Mine was higher
+	Size               int // 0: all
+	Metric             string
+	First, Second      float64 // means
+	Mean               float64 // of the differences
+	Low, High          float64 // 95% interval, by bootstrap over the pairs
+	Pairs, FirstHigher int     // pairs, and those in which Mine was higher
 }
 
 // resamples of a bootstrap.
 const resamples = 10_000
 
 // Compare gives the differences of two policies by metric and size.
-func Compare(runs []Run, mine, other string) []Difference {
+func Compare(runs []RunResult, mine, other string) []Difference {
 	type key struct {
 		size int
 		seed uint64
@@ -195,19 +195,19 @@
 				if n != 0 && k.size != n {
 					continue
 				}
-				x, y := m.Of(a[k]), m.Of(b[k])
-				d.Mine += x
-				d.Other += y
+				x, y := m.Value(a[k]), m.Value(b[k])
+				d.First += x
+				d.Second += y
 				if x > y {
-					d.Better++
+					d.FirstHigher++
 				}
 				diffs = append(diffs, x-y)
 			}
 			if d.Pairs = len(diffs); d.Pairs == 0 {
 				continue
 			}
-			d.Mine /= float64(d.Pairs)
-			d.Other /= float64(d.Pairs)
+			d.First /= float64(d.Pairs)
+			d.Second /= float64(d.Pairs)
 			d.Mean, d.Low, d.High = Bootstrap(diffs, resamples, 1)
 			out = append(out, d)
 		}
--- a/internal/lab/write.go
+++ b/internal/lab/write.go
@@ -21,14 +21,14 @@
 // Write puts an experiment's results into a folder: runs.csv, table.md and the plots
 // setup-time.svg and, for each policy but the first, against-POLICY.svg. Files of those
 // names are replaced.
-func (e *Experiment) Write(dir string, runs []Run) error {
+func (e *Experiment) Write(dir string, runs []RunResult) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	for _, f := range []struct {
 		name string
 		do   func(w io.Writer) error
-	}{{"runs.csv", func(w io.Writer) error { return e.CSV(w, runs) }}, {"table.md", func(w io.Writer) error { return e.Table(w, runs) }}} {
+	}{{"runs.csv", func(w io.Writer) error { return e.WriteCSV(w, runs) }}, {"table.md", func(w io.Writer) error { return e.WriteTable(w, runs) }}} {
 		out, err := os.Create(filepath.Join(dir, f.name))
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// CSV writes a line a run.
-func (e *Experiment) CSV(w io.Writer, runs []Run) error {
+// WriteCSV writes a line a run.
+func (e *Experiment) WriteCSV(w io.Writer, runs []RunResult) error {
 	out := csv.NewWriter(w)
 	head := []string{"size", "seed", "policy", "service", "worst_10s", "worst_class", "tandem_share", "offered", "tries", "stood", "late", "cut",
 		"refused", "turned_back", "timed_out", "given_up", "processor_full", "sends", "repeats", "p50_ms", "p99_ms", "trace"}
@@ -64,15 +64,15 @@
 	for _, r := range runs {
 		row := []string{strconv.Itoa(r.Size), strconv.FormatUint(r.Seed, 10), r.Policy}
 		for _, m := range Metrics {
-			row = append(row, strconv.FormatFloat(m.Of(r.Result), 'f', 5, 64))
+			row = append(row, strconv.FormatFloat(m.Value(r.Result), 'f', 5, 64))
 		}
-		for _, n := range []int{r.Offered, r.Tries, r.Stood, r.Late, r.Cut, r.Refused, r.TurnedBack, r.TimedOut, r.GivenUp, r.ProcessorFull, r.Sends, r.Repeats} {
+		for _, n := range []int{r.Offered, r.Tries, r.Established, r.Late, r.Cut, r.Refused, r.TurnedBack, r.TimedOut, r.GivenUp, r.ProcessorFull, r.Sends, r.Repeats} {
 			row = append(row, strconv.Itoa(n))
 		}
 		for _, q := range []float64{50, 99} {
 			row = append(row, strconv.FormatFloat(float64(r.SetUpTime.ValueAtQuantile(q))/1000, 'f', 1, 64))
 		}
-		if err := out.Write(append(row, fmt.Sprintf("%016x", r.Hash))); err != nil {
+		if err := out.Write(append(row, fmt.Sprintf("%016x", r.TraceHash))); err != nil {
 			return err
 		}
 	}
@@ -87,11 +87,11 @@
 	return strconv.Itoa(n)
 }
 
-// Table writes the paired differences in Markdown.
-func (e *Experiment) Table(w io.Writer, runs []Run) error {
+// WriteTable writes the paired differences in Markdown.
+func (e *Experiment) WriteTable(w io.Writer, runs []RunResult) error {
 	_, err := fmt.Fprintf(w, "# %s\n\nLoad %g of plan, %g s a day, sizes %v, seeds %d to %d, troubles %d a day, blocking %g.\n"+
 		"Differences are of pairs with the same installation, day and callers; intervals are 95%%, by bootstrap.\n",
-		e.Name, e.Load, e.LengthS, e.Sizes, e.FirstSeed, e.FirstSeed+uint64(e.Seeds)-1, e.Troubles, e.Target)
+		e.Name, e.Load, e.LengthSeconds, e.Sizes, e.FirstSeed, e.FirstSeed+uint64(e.Seeds)-1, e.Faults, e.TargetBlocking)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		}
 		for _, d := range Compare(runs, e.Policies[0], other) {
 			if _, err := fmt.Fprintf(w, "| %s | %s | %.4f | %.4f | %+.4f | %+.4f to %+.4f | %d of %d |\n",
-				d.Metric, sizeName(d.Size), d.Mine, d.Other, d.Mean, d.Low, d.High, d.Better, d.Pairs); err != nil {
+				d.Metric, sizeName(d.Size), d.First, d.Second, d.Mean, d.Low, d.High, d.FirstHigher, d.Pairs); err != nil {
 				return err
 			}
 		}
@@ -116,7 +116,7 @@
 	plotter.YErrors
 }
 
-func (e *Experiment) plotDifferences(path string, runs []Run, other string) error {
+func (e *Experiment) plotDifferences(path string, runs []RunResult, other string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s less %s, 95%% intervals", e.Name, e.Policies[0], other)
 	p.Y.Label.Text = "difference"
@@ -147,7 +147,7 @@
 	return p.Save(22*vg.Centimeter, 13*vg.Centimeter, path)
 }
 
-func (e *Experiment) plotTimes(path string, runs []Run) error {
+func (e *Experiment) plotTimes(path string, runs []RunResult) error {
 	p := plot.New()
 	p.Title.Text = e.Name + ": time from a caller's first try until the call stands"
 	p.X.Label.Text = "percentile"
@@ -185,12 +185,12 @@
 }
 
 // Summary is the first policy against each other, over all sizes: a line a metric.
-func (e *Experiment) Summary(runs []Run) []string {
+func (e *Experiment) Summary(runs []RunResult) []string {
 	var out []string
 	for _, other := range e.Policies[1:] {
 		for _, d := range slices.DeleteFunc(Compare(runs, e.Policies[0], other), func(d Difference) bool { return d.Size != 0 }) {
 			out = append(out, fmt.Sprintf("%s against %s: %s %.4f to %.4f, difference %+.4f (95%% %+.4f to %+.4f), %d pairs",
-				e.Policies[0], other, d.Metric, d.Mine, d.Other, d.Mean, d.Low, d.High, d.Pairs))
+				e.Policies[0], other, d.Metric, d.First, d.Second, d.Mean, d.Low, d.High, d.Pairs))
 		}
 	}
 	return out
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -28,7 +28,7 @@
 	Name      string
 	Width     int
 	Hold      time.Duration // mean, exponential
-	Goal      time.Duration
+	GoalTime  time.Duration
 	Deadline  time.Duration
 	Worth     float64
 	LateShare float64 // of the worth, for a call that stands past its goal
@@ -44,51 +44,51 @@
 }
 
 // Work is what a processor has to do, in set-ups.
-type Work struct{ Look, Answer, Release, Reject, Repeat float64 }
+type Work struct{ Lookup, Answer, Release, Reject, Repeat float64 }
 
-// Trouble is a stretch in which something is wrong.
-type Trouble struct {
+// Fault is a stretch in which something is wrong.
+type Fault struct {
 	From, To  time.Duration
 	Exchanges []int   // nil: all
-	Slow      float64 // processors take so many times as long; 0: as usual
+	Slowdown  float64 // processors take so many times as long; 0: as usual
 	Burst     float64 // calls come so many times as often; 0: as usual
 	Down      bool    // processors are down, and start cold afterwards
 }
 
 // Config is one run.
 type Config struct {
-	Seed      uint64
-	Length    time.Duration // calls arrive for so long; then the run plays out
-	Warm      time.Duration // first tries before this are not counted
-	Exchanges int
-	Classes   []Class
-	Groups    []Group
-	Flows     []Flow
-	SetUp     []time.Duration // by exchange: a set-up's work at full speed
-	Work      Work
-	MaxWait   []time.Duration // by exchange: set-ups are turned away beyond this wait
-	Link      [2]time.Duration
-	Swing     float64       // calls wave by this share ...
-	Period    time.Duration // ... over this; 0: steady
-	DriftCV   float64       // each pair's rate is redrawn with this coefficient of variation ...
-	DriftGap  [2]time.Duration
-	TryShare  float64 // of the deadline, after which a caller gives a try up
-	Redials   int
-	Backoff   [2]time.Duration
-	Notice    [2]time.Duration // the list is late by so much
-	ColdShare float64
-	ColdRamp  time.Duration
-	Troubles  []Trouble
-	Make      routing.Factory
-	// Tell is called for each exchange once its decider has been told of the list,
+	Seed          uint64
+	Length        time.Duration // calls arrive for so long; then the run plays out
+	CountFrom     time.Duration // first tries before this are not counted
+	Exchanges     int
+	Classes       []Class
+	Groups        []Group
+	Flows         []Flow
+	SetUpWork     []time.Duration // by exchange: a set-up's work at full speed
+	Work          Work
+	MaxWait       []time.Duration // by exchange: set-ups are turned away beyond this wait
+	LinkDelay     [2]time.Duration
+	WaveAmplitude float64       // calls wave by this share ...
+	WavePeriod    time.Duration // ... over this; 0: steady
+	DriftCV       float64       // each pair's rate is redrawn with this coefficient of variation ...
+	DriftInterval [2]time.Duration
+	TryShare      float64 // of the deadline, after which a caller gives a try up
+	MaxRedials    int
+	Backoff       [2]time.Duration
+	ListDelay     [2]time.Duration // the list is late by so much
+	ColdCapacity  float64
+	WarmUpTime    time.Duration
+	Faults        []Fault
+	NewPolicy     routing.Factory
+	// ExtraEvents is called for each exchange once its decider has been told of the list,
 	// also after a restart: for what reaches a decider by other ways.
-	Tell func(exchange int, now time.Duration) []routing.Event
-	// Again calls Tell for all exchanges each time it has passed; 0: never.
-	Again time.Duration
-	// Check counts the circuits of every group anew after every event.
-	Check bool
-	// Demand is told of each first try, if set.
-	Demand func(now time.Duration, class, from, to int)
+	ExtraEvents func(exchange int, now time.Duration) []routing.Event
+	// ExtraEventsInterval calls Tell for all exchanges each time it has passed; 0: never.
+	ExtraEventsInterval time.Duration
+	// CheckCircuits counts the circuits of every group anew after every event.
+	CheckCircuits bool
+	// OnFirstTry is told of each first try, if set.
+	OnFirstTry func(now time.Duration, class, from, to int)
 }
 
 // Rest and other times that the rules give.
@@ -106,14 +106,14 @@
 		key string
 		ok  bool
 	}{{"exchanges: 2 to 256", c.Exchanges >= 2 && c.Exchanges <= maxExchanges}, {"classes: at least one", len(c.Classes) > 0},
-		{"set_up: one an exchange", len(c.SetUp) == c.Exchanges}, {"max_wait: one an exchange", len(c.MaxWait) == c.Exchanges},
-		{"length: above 0 and at most an hour", c.Length > 0 && c.Length <= time.Hour}, {"make: missing", c.Make != nil},
-		{"redials: 0 to 16", c.Redials >= 0 && c.Redials <= 16}, {"try_share: above 0 and at most 1", c.TryShare > 0 && c.TryShare <= 1}} {
+		{"set_up: one an exchange", len(c.SetUpWork) == c.Exchanges}, {"max_wait: one an exchange", len(c.MaxWait) == c.Exchanges},
+		{"length: above 0 and at most an hour", c.Length > 0 && c.Length <= time.Hour}, {"make: missing", c.NewPolicy != nil},
+		{"redials: 0 to 16", c.MaxRedials >= 0 && c.MaxRedials <= 16}, {"try_share: above 0 and at most 1", c.TryShare > 0 && c.TryShare <= 1}} {
 		if !n.ok {
 			return fmt.Errorf("mesh: %s", n.key)
 		}
 	}
-	for i, w := range c.SetUp {
+	for i, w := range c.SetUpWork {
 		if w <= 0 {
 			return fmt.Errorf("mesh: set_up[%d]: not above 0", i)
 		}
@@ -137,9 +137,6 @@
 	a, b, size, free int
 }
 
-// far is the other end.
-func (g *group) far(x int) int { return g.a + g.b - x }
-
 // exchange is one exchange: its processor, its decider and what that one owes.
 type exchange struct {
 	no      int
@@ -233,10 +230,10 @@
 	m := &Mesh{engine: newEngine(), cfg: cfg, wire: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	m.res.begin(&cfg)
 	m.set = routing.Settings{FleetSize: cfg.Exchanges, MaxAttempts: mostTries, ReleaseDelay: release, ResendInterval: resend,
-		WarmUpTime: cfg.ColdRamp, ColdCapacity: cfg.ColdShare, OverloadFactor: fallFactor, OverloadWindow: fallWindow,
+		WarmUpTime: cfg.WarmUpTime, ColdCapacity: cfg.ColdCapacity, OverloadFactor: fallFactor, OverloadWindow: fallWindow,
 		AnswerSlack: answerSlack, CancelAllowed: true}
 	for _, k := range cfg.Classes {
-		m.set.Classes = append(m.set.Classes, routing.Class{GoalTime: k.Goal, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
+		m.set.Classes = append(m.set.Classes, routing.Class{GoalTime: k.GoalTime, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
 	}
 	for i := range cfg.Exchanges {
 		x := &exchange{no: i, groups: make([]*group, cfg.Exchanges), told: make([]bool, cfg.Exchanges), legs: map[*attempt]bool{}}
@@ -256,12 +253,12 @@
 	}
 	m.troubles()
 	m.traffic()
-	if cfg.Again > 0 {
+	if cfg.ExtraEventsInterval > 0 {
 		m.again()
 	}
 	end := cfg.Length + m.playOut()
 	for m.err == nil && m.step(end) {
-		if cfg.Check {
+		if cfg.CheckCircuits {
 			m.conserve()
 		}
 	}
@@ -281,7 +278,7 @@
 	for _, k := range m.cfg.Classes {
 		d = max(d, time.Duration(float64(k.Deadline)*m.cfg.TryShare))
 	}
-	return time.Duration(m.cfg.Redials+1) * (d + m.cfg.Backoff[1])
+	return time.Duration(m.cfg.MaxRedials+1) * (d + m.cfg.Backoff[1])
 }
 
 func (m *Mesh) fail(format string, args ...any) {
@@ -293,13 +290,13 @@
 // speed is how fast a processor works now.
 func (m *Mesh) speed(x *exchange, now time.Duration) float64 {
 	v := 1.0
-	for _, t := range m.cfg.Troubles {
-		if t.Slow > 0 && now >= t.From && now < t.To && (t.Exchanges == nil || slices.Contains(t.Exchanges, x.no)) {
-			v /= t.Slow
+	for _, t := range m.cfg.Faults {
+		if t.Slowdown > 0 && now >= t.From && now < t.To && (t.Exchanges == nil || slices.Contains(t.Exchanges, x.no)) {
+			v /= t.Slowdown
 		}
 	}
-	if age := now - x.started; x.started > 0 && age < m.cfg.ColdRamp {
-		v *= m.cfg.ColdShare + (1-m.cfg.ColdShare)*float64(age)/float64(m.cfg.ColdRamp)
+	if age := now - x.started; x.started > 0 && age < m.cfg.WarmUpTime {
+		v *= m.cfg.ColdCapacity + (1-m.cfg.ColdCapacity)*float64(age)/float64(m.cfg.WarmUpTime)
 	}
 	return v
 }
@@ -323,7 +320,7 @@
 	s := m.set
 	s.OwnExchange = x.no
 	var err error
-	if x.d, err = m.cfg.Make(s, m.cfg.Seed*1009+uint64(x.no)*31+uint64(x.epoch)); err != nil {
+	if x.d, err = m.cfg.NewPolicy(s, m.cfg.Seed*1009+uint64(x.no)*31+uint64(x.epoch)); err != nil {
 		m.fail("exchange %d: %w", x.no, err)
 		return
 	}
@@ -335,17 +332,17 @@
 	for far := range m.xs {
 		m.news(x, far)
 	}
-	if m.cfg.Tell != nil {
-		for _, ev := range m.cfg.Tell(x.no, m.now) {
+	if m.cfg.ExtraEvents != nil {
+		for _, ev := range m.cfg.ExtraEvents(x.no, m.now) {
 			m.tell(x, ev)
 		}
 	}
 }
 
 func (m *Mesh) again() {
-	m.after(m.cfg.Again, 'A', 0, func() {
+	m.after(m.cfg.ExtraEventsInterval, 'A', 0, func() {
 		for _, x := range m.xs {
-			for _, ev := range m.cfg.Tell(x.no, m.now) {
+			for _, ev := range m.cfg.ExtraEvents(x.no, m.now) {
 				if x.up {
 					m.tell(x, ev)
 				}
@@ -458,7 +455,7 @@
 	}
 }
 
-func (m *Mesh) delay() time.Duration { return between(m.wire, m.cfg.Link) }
+func (m *Mesh) delay() time.Duration { return between(m.wire, m.cfg.LinkDelay) }
 
 func between(r *rand.Rand, span [2]time.Duration) time.Duration {
 	if span[1] <= span[0] {
@@ -468,7 +465,7 @@
 }
 
 func (m *Mesh) work(x *exchange, share float64) time.Duration {
-	return time.Duration(share * float64(m.cfg.SetUp[x.no]))
+	return time.Duration(share * float64(m.cfg.SetUpWork[x.no]))
 }
 
 // ---- traffic
@@ -481,7 +478,7 @@
 	for i := range m.drift {
 		m.drift[i] = 1
 	}
-	if m.cfg.DriftCV > 0 && m.cfg.DriftGap[0] > 0 {
+	if m.cfg.DriftCV > 0 && m.cfg.DriftInterval[0] > 0 {
 		m.redrift(rand.New(rand.NewPCG(m.cfg.Seed, 3)))
 	}
 	for i, f := range m.cfg.Flows {
@@ -508,7 +505,7 @@
 	for i := range m.drift {
 		m.drift[i] *= was / is
 	}
-	m.after(between(r, m.cfg.DriftGap), 'D', 0, func() { m.redrift(r) })
+	m.after(between(r, m.cfg.DriftInterval), 'D', 0, func() { m.redrift(r) })
 }
 
 // driftMost bounds how far drift alone may lift a flow above its mean.
@@ -521,11 +518,11 @@
 	if m.cfg.DriftCV > 0 {
 		v = driftMost
 	}
-	if m.cfg.Period > 0 {
-		v *= 1 + math.Abs(m.cfg.Swing)
+	if m.cfg.WavePeriod > 0 {
+		v *= 1 + math.Abs(m.cfg.WaveAmplitude)
 	}
 	burst := 1.0
-	for _, t := range m.cfg.Troubles {
+	for _, t := range m.cfg.Faults {
 		burst = max(burst, t.Burst)
 	}
 	return v * burst
@@ -534,10 +531,10 @@
 // factor is how many times its mean a flow has now.
 func (m *Mesh) factor(i int) float64 {
 	v := min(m.drift[i], driftMost)
-	if m.cfg.Period > 0 {
-		v *= 1 + m.cfg.Swing*math.Sin(2*math.Pi*float64(m.now)/float64(m.cfg.Period))
+	if m.cfg.WavePeriod > 0 {
+		v *= 1 + m.cfg.WaveAmplitude*math.Sin(2*math.Pi*float64(m.now)/float64(m.cfg.WavePeriod))
 	}
-	for _, t := range m.cfg.Troubles {
+	for _, t := range m.cfg.Faults {
 		if t.Burst > 0 && m.now >= t.From && m.now < t.To && (t.Exchanges == nil || slices.Contains(t.Exchanges, m.cfg.Flows[i].From)) {
 			v *= t.Burst
 		}
@@ -556,11 +553,11 @@
 		keep, hold, pause := r.Float64()*m.peak < m.factor(i), r.ExpFloat64(), between(r, m.cfg.Backoff)
 		if keep {
 			k := m.cfg.Classes[f.Class]
-			c := &caller{no: n, class: f.Class, from: f.From, to: f.To, first: m.now, counted: m.now >= m.cfg.Warm, pause: pause,
+			c := &caller{no: n, class: f.Class, from: f.From, to: f.To, first: m.now, counted: m.now >= m.cfg.CountFrom, pause: pause,
 				hold: time.Duration(hold * float64(k.Hold)), number: strconv.Itoa(i) + "00" + strconv.Itoa(n)}
 			n++
-			if m.cfg.Demand != nil {
-				m.cfg.Demand(m.now, c.class, c.from, c.to)
+			if m.cfg.OnFirstTry != nil {
+				m.cfg.OnFirstTry(m.now, c.class, c.from, c.to)
 			}
 			m.res.offer(c, k)
 			m.dial(c)
@@ -594,14 +591,14 @@
 	m.keys++
 	t.key = "t/" + strconv.Itoa(m.keys)
 	t.x.tries[t.key] = t
-	t.x.proc.add(m.work(t.x, m.cfg.Work.Look), false, nil)
+	t.x.proc.add(m.work(t.x, m.cfg.Work.Lookup), false, nil)
 	c := t.c
 	m.tell(t.x, routing.Offered{Call: t.key, Class: c.class, Number: c.number, Dest: c.to,
 		Width: m.cfg.Classes[c.class].Width, Expires: t.expires, Transit: transit})
 }
 
 func (m *Mesh) redial(c *caller) {
-	if c.tries > m.cfg.Redials || c.stood {
+	if c.tries > m.cfg.MaxRedials || c.stood {
 		return
 	}
 	m.after(c.pause, 'R', uint32(c.no), func() { m.dial(c) })
@@ -686,7 +683,7 @@
 		return
 	}
 	if to != t.c.to {
-		m.res.RoundSends++
+		m.res.TandemSends++
 	}
 	m.take(a)
 	limit := t.expires - m.now
@@ -843,7 +840,7 @@
 // ---- troubles
 
 func (m *Mesh) troubles() {
-	for _, t := range m.cfg.Troubles {
+	for _, t := range m.cfg.Faults {
 		if !t.Down {
 			continue
 		}
@@ -933,7 +930,7 @@
 	e := routing.ListEntry{Host: host(x.no), Exchange: x.no, Started: x.started, State: x.state}
 	for _, o := range m.xs {
 		if o != x {
-			m.after(between(m.wire, m.cfg.Notice), 'I', uint32(o.no), func() {
+			m.after(between(m.wire, m.cfg.ListDelay), 'I', uint32(o.no), func() {
 				if o.up {
 					m.handle(o, routing.ListUpdated{Entries: []routing.ListEntry{e}})
 				}
@@ -944,15 +941,15 @@
 
 // cold keeps the account of the rule that no cold processor is pushed over.
 func (m *Mesh) cold(x *exchange) {
-	if x.started == 0 || m.now-x.started >= m.cfg.ColdRamp {
+	if x.started == 0 || m.now-x.started >= m.cfg.WarmUpTime {
 		return
 	}
-	perSec := fallFactor * m.speed(x, m.now) * float64(time.Second) / float64(m.cfg.SetUp[x.no])
+	perSec := fallFactor * m.speed(x, m.now) * float64(time.Second) / float64(m.cfg.SetUpWork[x.no])
 	window := perSec * fallWindow.Seconds()
 	x.budget = min(window, x.budget+perSec*(m.now-x.budgAt).Seconds())
 	x.budgAt = m.now
 	if x.budget--; x.budget < 0 {
-		m.res.PushedOver++
+		m.res.ColdOverloads++
 		x.budget = window
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -17,8 +17,8 @@
 
 // lossy is one group with nothing but its circuits in the way.
 func lossy(circuits int, classes []Class, rates []float64) Config {
-	c := Config{Seed: 1, Length: 50 * time.Minute, Warm: 2 * time.Minute, Exchanges: 2, Make: Direct, Classes: classes,
-		Groups: []Group{{0, 1, circuits}}, SetUp: []time.Duration{time.Nanosecond, time.Nanosecond},
+	c := Config{Seed: 1, Length: 50 * time.Minute, CountFrom: 2 * time.Minute, Exchanges: 2, NewPolicy: NewDirectPolicy, Classes: classes,
+		Groups: []Group{{0, 1, circuits}}, SetUpWork: []time.Duration{time.Nanosecond, time.Nanosecond},
 		MaxWait: []time.Duration{time.Second, time.Second}, TryShare: 1}
 	for k, r := range rates {
 		c.Flows = append(c.Flows, Flow{k, 0, 1, r / 2}, Flow{k, 1, 0, r / 2})
@@ -36,7 +36,7 @@
 		all.Go(func() error {
 			r, err := Run(mine)
 			if err == nil {
-				each[s] = r.ByClass
+				each[s] = r.ServiceByClass
 			}
 			return err
 		})
@@ -57,7 +57,7 @@
 // Poisson calls, no redials and no delays: within 2%.
 func TestBlockingIsErlangs(t *testing.T) {
 	class := func(w int) Class {
-		return Class{Name: "c", Width: w, Hold: time.Second, Goal: 10 * time.Second, Deadline: 10 * time.Second, Worth: 1}
+		return Class{Name: "c", Width: w, Hold: time.Second, GoalTime: 10 * time.Second, Deadline: 10 * time.Second, Worth: 1}
 	}
 	for _, x := range []struct {
 		n     int
@@ -118,9 +118,9 @@
 
 // five is a full mesh whose groups hold half of what is offered.
 func five() Config {
-	c := lossy(1, []Class{{Name: "c", Width: 1, Hold: time.Second, Goal: time.Second, Deadline: 9 * time.Second, Worth: 1}}, nil)
-	c.Length, c.Warm, c.Exchanges, c.Groups, c.Make = 20*time.Second, 0, 5, nil, Even
-	c.SetUp, c.MaxWait = slices.Repeat([]time.Duration{time.Millisecond}, 5), slices.Repeat([]time.Duration{time.Second}, 5)
+	c := lossy(1, []Class{{Name: "c", Width: 1, Hold: time.Second, GoalTime: time.Second, Deadline: 9 * time.Second, Worth: 1}}, nil)
+	c.Length, c.CountFrom, c.Exchanges, c.Groups, c.NewPolicy = 20*time.Second, 0, 5, nil, NewEvenPolicy
+	c.SetUpWork, c.MaxWait = slices.Repeat([]time.Duration{time.Millisecond}, 5), slices.Repeat([]time.Duration{time.Second}, 5)
 	for a := range 5 {
 		for b := range 5 {
 			if a != b {
@@ -136,9 +136,11 @@
 
 // A decider that breaks a rule ends the run with an error that names it.
 func TestRulesAreHeld(t *testing.T) {
-	for want, odd := range map[string]func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action{
-		"two attempts out": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action { return append(acts, acts...) },
-		"sends to": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
+	for want, odd := range map[string]func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action{
+		"two attempts out": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
+			return append(acts, acts...)
+		},
+		"sends to": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
 			for i, a := range acts {
 				if s, ok := a.(routing.Send); ok {
 					s.Host = "nowhere"
@@ -147,13 +149,13 @@
 			}
 			return acts
 		},
-		"final answer": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
+		"final answer": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Offered); ok {
 				acts = append(acts, routing.Refuse{Call: o.Call})
 			}
 			return acts
 		},
-		"call in transit": func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action {
+		"call in transit": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Offered); ok && o.Transit {
 				third := slices.IndexFunc(hosts[:], func(h string) bool { return h != host(o.Dest) && h != host(p.set.OwnExchange) })
 				return []routing.Action{routing.Send{Call: o.Call, Host: host(third)}}
@@ -162,7 +164,7 @@
 		},
 	} {
 		c := five()
-		c.Make = func(s routing.Settings, seed uint64) (routing.Policy, error) {
+		c.NewPolicy = func(s routing.Settings, seed uint64) (routing.Policy, error) {
 			p := newPlain(s, seed, true)
 			return odder{p, odd}, nil
 		}
@@ -178,8 +180,8 @@
 }
 
 type odder struct {
-	p   *Plain
-	odd func(p *Plain, ev routing.Event, acts []routing.Action) []routing.Action
+	p   *SimplePolicy
+	odd func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action
 }
 
 func (o odder) Handle(now time.Duration, ev routing.Event) []routing.Action {
--- a/internal/mesh/policy.go
+++ b/internal/mesh/policy.go
@@ -8,11 +8,11 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Plain is a decider to compare with. It goes direct while there is room, else by
+// SimplePolicy is a decider to compare with. It goes direct while there is room, else by
 // a tandem drawn evenly among those to which the own group has room, and again by
 // another if that one turns the call back. It keeps the rules and nothing more: no
 // throttle, no reserve, no memory.
-type Plain struct {
+type SimplePolicy struct {
 	set    routing.Settings
 	rng    *rand.Rand
 	round  bool
@@ -30,22 +30,22 @@
 	owed  bool
 }
 
-// Even makes a Plain that uses tandems.
-func Even(s routing.Settings, seed uint64) (routing.Policy, error) {
+// NewEvenPolicy makes a Plain that uses tandems.
+func NewEvenPolicy(s routing.Settings, seed uint64) (routing.Policy, error) {
 	return newPlain(s, seed, true), nil
 }
 
-// Direct makes a Plain that never does.
-func Direct(s routing.Settings, seed uint64) (routing.Policy, error) {
+// NewDirectPolicy makes a Plain that never does.
+func NewDirectPolicy(s routing.Settings, seed uint64) (routing.Policy, error) {
 	return newPlain(s, seed, false), nil
 }
 
-func newPlain(s routing.Settings, seed uint64, round bool) *Plain {
-	return &Plain{set: s, rng: rand.New(rand.NewPCG(seed, 77)), round: round, free: map[string]int{}, calls: map[string]*plainCall{}}
+func newPlain(s routing.Settings, seed uint64, round bool) *SimplePolicy {
+	return &SimplePolicy{set: s, rng: rand.New(rand.NewPCG(seed, 77)), round: round, free: map[string]int{}, calls: map[string]*plainCall{}}
 }
 
 // Handle takes one event and returns what is to be done.
-func (p *Plain) Handle(now time.Duration, ev routing.Event) []routing.Action {
+func (p *SimplePolicy) Handle(now time.Duration, ev routing.Event) []routing.Action {
 	switch e := ev.(type) {
 	case routing.ListUpdated:
 		return p.listed(e)
@@ -87,13 +87,13 @@
 	return nil
 }
 
-func (p *Plain) report(host string, r routing.Report) {
+func (p *SimplePolicy) report(host string, r routing.Report) {
 	if r.Size >= 0 {
 		p.free[host] = r.Free
 	}
 }
 
-func (p *Plain) listed(e routing.ListUpdated) []routing.Action {
+func (p *SimplePolicy) listed(e routing.ListUpdated) []routing.Action {
 	if e.Failed {
 		return nil
 	}
@@ -115,7 +115,7 @@
 }
 
 // place sends a call on by a way not tried yet, or refuses it.
-func (p *Plain) place(now time.Duration, k *plainCall) []routing.Action {
+func (p *SimplePolicy) place(now time.Duration, k *plainCall) []routing.Action {
 	var ways []routing.ListEntry
 	for _, h := range p.hosts {
 		free, known := p.free[h.Host]
--- a/internal/mesh/result.go
+++ b/internal/mesh/result.go
@@ -12,19 +12,19 @@
 // Result is what a run came to. Counts are of all of it, services of the first
 // tries from Config.Warm on.
 type Result struct {
-	Hash    uint64 // of the trace: every event's time, kind and place
-	Events  uint64
-	Service float64   // worth that stood in time and was not cut, over worth offered
-	Worst   float64   // the same in the worst 10 s
-	ByClass []float64 // the same by class
-	Round   float64   // share of the calls that stood over a tandem
+	TraceHash      uint64 // of the trace: every event's time, kind and place
+	Events         uint64
+	Service        float64   // worth that stood in time and was not cut, over worth offered
+	WorstService   float64   // the same in the worst 10 s
+	ServiceByClass []float64 // the same by class
+	TandemShare    float64   // share of the calls that stood over a tandem
 
-	Offered, Tries, Sends, RoundSends int
-	Stood, StoodRound, Late, Cut      int
-	Refused, TurnedBack, TimedOut     int
-	GivenUp, Repeats, Wasted          int
-	ProcessorFull, PushedOver         int
-	Use                               []float64 // by exchange: share of the time that its processor served
+	Offered, Tries, Sends, TandemSends           int
+	Established, EstablishedViaTandem, Late, Cut int
+	Refused, TurnedBack, TimedOut                int
+	GivenUp, Repeats, Wasted                     int
+	ProcessorFull, ColdOverloads                 int
+	Utilization                                  []float64 // by exchange: share of the time that its processor served
 	// SetUpTime is of the calls that stood, from the first try, in microseconds.
 	SetUpTime *hdrhistogram.Histogram
 
@@ -34,8 +34,8 @@
 }
 
 func (r *Result) begin(c *Config) {
-	n := int((c.Length-c.Warm)/window) + 1
-	r.warm = c.Warm
+	n := int((c.Length-c.CountFrom)/window) + 1
+	r.warm = c.CountFrom
 	r.asked, r.got = make([]float64, len(c.Classes)), make([]float64, len(c.Classes))
 	r.wasked, r.wgot = make([]float64, max(1, n)), make([]float64, max(1, n))
 	r.SetUpTime = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
@@ -55,7 +55,7 @@
 
 func earned(c *caller, k Class, took time.Duration) float64 {
 	switch {
-	case took <= k.Goal:
+	case took <= k.GoalTime:
 		return k.Worth
 	case took <= k.Deadline:
 		return k.Worth * k.LateShare
@@ -64,13 +64,13 @@
 }
 
 func (r *Result) stood(c *caller, k Class, now time.Duration, round bool) {
-	r.Stood++
+	r.Established++
 	if round {
-		r.StoodRound++
+		r.EstablishedViaTandem++
 	}
 	took := now - c.first
 	c.took = took
-	if took > k.Goal {
+	if took > k.GoalTime {
 		r.Late++
 	}
 	_ = r.SetUpTime.RecordValue(max(1, took.Microseconds())) // a run is shorter than its range
@@ -91,24 +91,24 @@
 }
 
 func (r *Result) finish(m *Mesh) {
-	r.Hash, r.Events = m.trace.Sum64(), m.steps
+	r.TraceHash, r.Events = m.trace.Sum64(), m.steps
 	asked, got := 0.0, 0.0
 	for k := range r.asked {
 		asked += r.asked[k]
 		got += r.got[k]
-		r.ByClass = append(r.ByClass, ratio(r.got[k], r.asked[k]))
+		r.ServiceByClass = append(r.ServiceByClass, ratio(r.got[k], r.asked[k]))
 	}
 	r.Service = ratio(got, asked)
-	r.Worst = 1
+	r.WorstService = 1
 	for i, a := range r.wasked {
 		// A last stretch much shorter than the others says little.
-		if a > 0 && (i == 0 || i < len(r.wasked)-1 || (m.cfg.Length-m.cfg.Warm)%window > window/2) {
-			r.Worst = min(r.Worst, ratio(r.wgot[i], a))
+		if a > 0 && (i == 0 || i < len(r.wasked)-1 || (m.cfg.Length-m.cfg.CountFrom)%window > window/2) {
+			r.WorstService = min(r.WorstService, ratio(r.wgot[i], a))
 		}
 	}
-	r.Round = ratio(float64(r.StoodRound), float64(r.Stood))
+	r.TandemShare = ratio(float64(r.EstablishedViaTandem), float64(r.Established))
 	for _, x := range m.xs {
-		r.Use = append(r.Use, x.proc.used.Seconds()/m.now.Seconds())
+		r.Utilization = append(r.Utilization, x.proc.used.Seconds()/m.now.Seconds())
 	}
 }
 
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -109,8 +109,8 @@
 func TestReplay(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("VIOLETSPAN_REPLAY"))
 	if seeds == 0 {
-		cfg := quick(lab.Draw(4, 1.1, time.Second, 7), 8, 6*time.Second)
-		events, _, err := lab.Planned(&cfg, 0.2, true)
+		cfg := quick(lab.DrawConfig(4, 1.1, time.Second, 7), 8, 6*time.Second)
+		events, _, err := lab.PlanEvents(&cfg, 0.2, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,8 +121,8 @@
 	}
 	var diffs []float64
 	for s := range seeds {
-		cfg := lab.Draw(5, 1.1, 50*time.Second, uint64(6001+s))
-		events, _, err := lab.Planned(&cfg, 0.2, true)
+		cfg := lab.DrawConfig(5, 1.1, 50*time.Second, uint64(6001+s))
+		events, _, err := lab.PlanEvents(&cfg, 0.2, true)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -401,7 +401,7 @@
 			return
 		}
 		r.counts["stood"]++
-		if k := r.cfg.Classes[c.class]; time.Since(c.from) <= k.Goal {
+		if k := r.cfg.Classes[c.class]; time.Since(c.from) <= k.GoalTime {
 			r.worth[1] += k.Worth
 		}
 		return
