--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -405,7 +405,7 @@
 			return
 		}
 		r.counts["established"]++
-		if class := r.cfg.Classes[c.class]; time.Since(c.offeredAt) <= class.Goal {
+		if class := r.cfg.Classes[c.class]; time.Since(c.offeredAt) <= class.GoalTime {
 			r.worth[1] += class.Worth
 		}
 		return
