--- a/internal/cluster/entry.go
+++ b/internal/cluster/entry.go
@@ -18,10 +18,10 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-var api = jsoniter.Config{SortMapKeys: true, DisallowUnknownFields: true}.Froze()
+var strictJSON = jsoniter.Config{SortMapKeys: true, DisallowUnknownFields: true}.Froze()
 
-// lenient reads what a later minor version may have added to.
-var lenient = jsoniter.Config{SortMapKeys: true}.Froze()
+// lenientJSON reads what a later minor version may have added to.
+var lenientJSON = jsoniter.Config{SortMapKeys: true}.Froze()
 
 // entryVersion is that of an entry's form. An instance that finds a later one in its
 // log can't go on: it would hold another state than the others.
@@ -40,28 +40,28 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// kinds reads each kind of entry; it is named as its type is.
-var kinds = map[string]func(b []byte) (duty.Entry, error){
-	"Join": as[duty.Join], "Leave": as[duty.Leave], "Register": as[duty.Register], "Remove": as[duty.Remove], "Tick": as[duty.Tick], "Done": as[duty.Done],
+// entryDecoders reads each kind of entry; it is named as its type is.
+var entryDecoders = map[string]func(b []byte) (duty.Entry, error){
+	"Join": decodeAs[duty.Join], "Leave": decodeAs[duty.Leave], "Register": decodeAs[duty.Register], "Remove": decodeAs[duty.Remove], "Tick": decodeAs[duty.Tick], "Done": decodeAs[duty.Done],
 }
 
-func as[T duty.Entry](b []byte) (duty.Entry, error) {
+func decodeAs[T duty.Entry](b []byte) (duty.Entry, error) {
 	var e T
-	err := api.Unmarshal(b, &e)
+	err := strictJSON.Unmarshal(b, &e)
 	return e, err
 }
 
 // EncodeEntry writes an entry for the log.
 func EncodeEntry(e duty.Entry) ([]byte, error) {
 	kind := strings.TrimPrefix(fmt.Sprintf("%T", e), "duty.")
-	if kinds[kind] == nil {
+	if entryDecoders[kind] == nil {
 		return nil, fmt.Errorf("cluster: entry %T", e)
 	}
-	body, err := api.Marshal(e)
+	body, err := strictJSON.Marshal(e)
 	if err != nil {
 		return nil, err
 	}
-	b, err := api.Marshal(envelope{entryVersion, kind, body})
+	b, err := strictJSON.Marshal(envelope{entryVersion, kind, body})
 	if err == nil && len(b) > MaxEntryBytes {
 		err = fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
 	}
@@ -73,18 +73,18 @@
 	if len(b) > MaxEntryBytes {
 		return nil, fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
 	}
-	var v envelope
-	if err := lenient.Unmarshal(b, &v); err != nil {
+	var decoded envelope
+	if err := lenientJSON.Unmarshal(b, &decoded); err != nil {
 		return nil, fmt.Errorf("cluster: entry: %w", err)
 	}
-	read := kinds[v.Kind]
+	decode := entryDecoders[decoded.Kind]
 	switch {
-	case v.V > entryVersion:
-		return nil, fmt.Errorf("%w: entry %d", ErrUnsupportedVersion, v.V)
-	case v.V < 1 || read == nil:
-		return nil, fmt.Errorf("cluster: an entry of version %d and kind %q", v.V, v.Kind)
+	case decoded.V > entryVersion:
+		return nil, fmt.Errorf("%w: entry %d", ErrUnsupportedVersion, decoded.V)
+	case decoded.V < 1 || decode == nil:
+		return nil, fmt.Errorf("cluster: an entry of version %d and kind %q", decoded.V, decoded.Kind)
 	}
-	e, err := read(v.Body)
+	e, err := decode(decoded.Body)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: entry: %w", err)
 	}
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -20,10 +20,10 @@
 // one major version understand each other. A later minor version may add types, which an
 // earlier one skips, and fields at a payload's end, which it ignores.
 const (
-	frameMagic  = 0x7653
-	FrameMajor  = 1
-	FrameMinor  = 0
-	frameHeader = 16
+	frameMagic       = 0x7653
+	FrameMajor       = 1
+	FrameMinor       = 0
+	frameHeaderBytes = 16
 	// MaxPayloadBytes bounds a payload, in bytes: a snapshot goes in one.
 	MaxPayloadBytes = 16 << 20
 )
@@ -66,33 +66,33 @@
 // ReadFrame reads one frame. A clean end of the input is io.EOF; nothing is allocated
 // for a payload beyond what arrives, but for 64 KiB.
 func ReadFrame(r io.Reader) (Frame, error) {
-	var h [frameHeader]byte
-	if _, err := io.ReadFull(r, h[:]); err != nil {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Frame{}, err
 	}
-	n := binary.BigEndian.Uint32(h[8:])
+	length := binary.BigEndian.Uint32(header[8:])
 	switch {
-	case binary.BigEndian.Uint16(h[:]) != frameMagic:
-		return Frame{}, fmt.Errorf("%w: it begins with %x", ErrMalformedFrame, h[:2])
-	case h[2] != FrameMajor:
-		return Frame{}, fmt.Errorf("%w: %d", ErrMajorVersion, h[2])
-	case n > MaxPayloadBytes:
-		return Frame{}, fmt.Errorf("%w: a length of %d", ErrMalformedFrame, n)
+	case binary.BigEndian.Uint16(header[:]) != frameMagic:
+		return Frame{}, fmt.Errorf("%w: it begins with %x", ErrMalformedFrame, header[:2])
+	case header[2] != FrameMajor:
+		return Frame{}, fmt.Errorf("%w: %d", ErrMajorVersion, header[2])
+	case length > MaxPayloadBytes:
+		return Frame{}, fmt.Errorf("%w: a length of %d", ErrMalformedFrame, length)
 	}
-	f := Frame{Minor: h[3], Type: FrameType(h[4])}
-	for left := int(n); left > 0; {
-		part := min(left, 64<<10)
-		at := len(f.Payload)
-		f.Payload = append(f.Payload, make([]byte, part)...)
-		if _, err := io.ReadFull(r, f.Payload[at:]); err != nil {
+	f := Frame{Minor: header[3], Type: FrameType(header[4])}
+	for remaining := int(length); remaining > 0; {
+		chunk := min(remaining, 64<<10)
+		offset := len(f.Payload)
+		f.Payload = append(f.Payload, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, f.Payload[offset:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return Frame{}, err
 		}
-		left -= part
+		remaining -= chunk
 	}
-	if crc32.Checksum(f.Payload, castagnoli) != binary.BigEndian.Uint32(h[12:]) {
+	if crc32.Checksum(f.Payload, castagnoli) != binary.BigEndian.Uint32(header[12:]) {
 		return Frame{}, fmt.Errorf("%w: a wrong checksum", ErrMalformedFrame)
 	}
 	return f, nil
@@ -108,7 +108,7 @@
 
 // HelloFrame makes the frame of a Hello.
 func HelloFrame(h Hello) (Frame, error) {
-	b, err := api.Marshal(h)
+	b, err := strictJSON.Marshal(h)
 	return Frame{FrameMinor, FrameHello, b}, err
 }
 
@@ -118,7 +118,7 @@
 	if f.Type != FrameHello {
 		return h, fmt.Errorf("%w: type %d in place of a hello", ErrMalformedFrame, f.Type)
 	}
-	if err := lenient.Unmarshal(f.Payload, &h); err != nil {
+	if err := lenientJSON.Unmarshal(f.Payload, &h); err != nil {
 		return h, fmt.Errorf("%w: hello: %w", ErrMalformedFrame, err)
 	}
 	if h.Member == 0 || h.Installation == "" || len(h.Installation) > 128 || len(h.Name) > 128 {
@@ -143,8 +143,8 @@
 }
 
 // HeartbeatFrame makes the frame of a beat.
-func HeartbeatFrame(at time.Duration) Frame {
-	return Frame{FrameMinor, FrameHeartbeat, number(uint64(at))}
+func HeartbeatFrame(sentAt time.Duration) Frame {
+	return Frame{FrameMinor, FrameHeartbeat, encodeUint64(uint64(sentAt))}
 }
 
 // Heartbeat reads a FrameBeat.
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -46,50 +46,50 @@
 
 // Bounds of a host.
 const (
-	inboxLen  = 4096 // messages that wait for the host; more are lost, as on a bad line
-	outboxLen = 1024 // messages that wait for one peer; more are lost
-	dialWait  = time.Second
-	writeWait = 2 * time.Second
-	redialMin = 50 * time.Millisecond
-	redialMax = time.Second
-	maxInConn = 4 * duty.MaxMembers
-	exitWait  = 2 * time.Second // for runs, at the end
+	inboxSize           = 4096 // messages that wait for the host; more are lost, as on a bad line
+	outboxSize          = 1024 // messages that wait for one peer; more are lost
+	dialTimeout         = time.Second
+	writeTimeout        = 2 * time.Second
+	reconnectBackoffMin = 50 * time.Millisecond
+	reconnectBackoffMax = time.Second
+	maxInboundConns     = 4 * duty.MaxMembers
+	shutdownTimeout     = 2 * time.Second // for runs, at the end
 )
 
 // Host runs a Member: its goroutine, clock, sockets and runs. Calls never wait for it.
 type Host struct {
-	cfg    HostConfig
-	log    *slog.Logger
-	tick   time.Duration
-	began  time.Time
-	inbox  chan received
-	ended  chan result
-	out    map[uint64]chan Frame
-	status chan chan Status
+	cfg            HostConfig
+	log            *slog.Logger
+	tickInterval   time.Duration
+	startedAt      time.Time
+	inbox          chan inboundFrame
+	runResults     chan runResult
+	outboxes       map[uint64]chan Frame
+	statusRequests chan chan Status
 
 	// The goroutine of loop alone uses all below.
-	m       *Member
-	agent   *duty.Agent
-	life    uint64
-	joined  bool
-	heard   map[string]time.Duration
-	running map[duty.Claim]*run
-	runs    sync.WaitGroup
-	counts  Counters
+	member      *Member
+	agent       *duty.Agent
+	incarnation uint64
+	joined      bool
+	heartbeats  map[string]time.Duration
+	running     map[duty.Claim]*run
+	runGroup    sync.WaitGroup
+	counters    Counters
 }
 
-type received struct {
-	from uint64
-	f    Frame
+type inboundFrame struct {
+	member uint64
+	frame  Frame
 }
 
 // run is one run of a duty.
-type run struct{ stop context.CancelFunc }
+type run struct{ cancel context.CancelFunc }
 
-type result struct {
-	c   duty.Claim
-	r   *run
-	err error
+type runResult struct {
+	claim duty.Claim
+	run   *run
+	err   error
 }
 
 // Counters are of what a host did since its start.
@@ -128,29 +128,29 @@
 	if id.Member != cfg.ID {
 		return nil, fmt.Errorf("%w: it is member %d's, not %d's", ErrInvalidIdentity, id.Member, cfg.ID)
 	}
-	h := &Host{cfg: cfg, log: cfg.Log, tick: cfg.Lease / 20, began: time.Now(), inbox: make(chan received, inboxLen), ended: make(chan result, cfg.MaxConcurrentRuns),
-		out: map[uint64]chan Frame{}, status: make(chan chan Status), heard: map[string]time.Duration{}, running: map[duty.Claim]*run{},
-		life: uint64(time.Now().UnixNano())}
-	var founders []uint64
+	h := &Host{cfg: cfg, log: cfg.Log, tickInterval: cfg.Lease / 20, startedAt: time.Now(), inbox: make(chan inboundFrame, inboxSize), runResults: make(chan runResult, cfg.MaxConcurrentRuns),
+		outboxes: map[uint64]chan Frame{}, statusRequests: make(chan chan Status), heartbeats: map[string]time.Duration{}, running: map[duty.Claim]*run{},
+		incarnation: uint64(time.Now().UnixNano())}
+	var initialMembers []uint64
 	for _, p := range cfg.Peers {
 		if cfg.Bootstrap {
-			founders = append(founders, p.ID)
+			initialMembers = append(initialMembers, p.ID)
 		}
 		if p.ID != cfg.ID {
-			h.out[p.ID] = make(chan Frame, outboxLen)
+			h.outboxes[p.ID] = make(chan Frame, outboxSize)
 		}
 	}
-	slices.Sort(founders)
-	dc := duty.Config{Lease: cfg.Lease}
-	h.agent = duty.NewAgent(cfg.Name, dc, cfg.MaxConcurrentRuns)
-	h.m, err = OpenMember(Config{ID: cfg.ID, Name: cfg.Name, InitialMembers: founders, Duty: dc, Storage: cfg.Storage, Log: cfg.Log,
+	slices.Sort(initialMembers)
+	dutyConfig := duty.Config{Lease: cfg.Lease}
+	h.agent = duty.NewAgent(cfg.Name, dutyConfig, cfg.MaxConcurrentRuns)
+	h.member, err = OpenMember(Config{ID: cfg.ID, Name: cfg.Name, InitialMembers: initialMembers, Duty: dutyConfig, Storage: cfg.Storage, Log: cfg.Log,
 		Rand: rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), cfg.ID))})
 	return h, err
 }
 
-// steady is the clock that leases of this instance go by. It counts on while the
+// steadyTime is the clock that leases of this instance go by. It counts on while the
 // process is stopped.
-func (h *Host) steady() time.Duration { return time.Since(h.began) }
+func (h *Host) steadyTime() time.Duration { return time.Since(h.startedAt) }
 
 // Run serves until the context ends, then stops its runs and waits for them. Its error
 // is the disk's, or nil.
@@ -162,83 +162,83 @@
 		<-ctx.Done()
 		return h.cfg.Listener.Close()
 	})
-	g.Go(func() error { return h.listen(ctx, g) })
+	g.Go(func() error { return h.acceptConns(ctx, g) })
 	for _, p := range h.cfg.Peers {
 		if p.ID != h.cfg.ID {
-			g.Go(func() error { h.send(ctx, p); return nil })
+			g.Go(func() error { h.sendToPeer(ctx, p); return nil })
 		}
 	}
-	g.Go(func() error { return h.loop(ctx) })
+	g.Go(func() error { return h.mainLoop(ctx) })
 	return g.Wait()
 }
 
-// loop is the host's own goroutine: the only one that touches the member.
-func (h *Host) loop(ctx context.Context) error {
+// mainLoop is the host's own goroutine: the only one that touches the member.
+func (h *Host) mainLoop(ctx context.Context) error {
 	defer func() {
 		for _, r := range h.running {
-			r.stop()
+			r.cancel()
 		}
 		done := make(chan struct{})
-		go func() { h.runs.Wait(); close(done) }()
+		go func() { h.runGroup.Wait(); close(done) }()
 		select {
 		case <-done:
-		case <-time.After(exitWait): // a run hangs: the process ends all the same
+		case <-time.After(shutdownTimeout): // a run hangs: the process ends all the same
 		}
 	}()
-	t := time.NewTicker(h.tick)
+	t := time.NewTicker(h.tickInterval)
 	defer t.Stop()
-	for n := 0; ; {
+	for ticks := 0; ; {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			n++
-			h.beat(n)
+			ticks++
+			h.handleTick(ticks)
 		case r := <-h.inbox:
-			h.receive(r)
+			h.handleFrame(r)
 			for k := len(h.inbox); k > 0; k-- { // one save for all that has come
-				h.receive(<-h.inbox)
+				h.handleFrame(<-h.inbox)
 			}
-		case r := <-h.ended:
-			h.end(r)
-		case c := <-h.status:
-			c <- h.stand()
+		case r := <-h.runResults:
+			h.finishRun(r)
+		case c := <-h.statusRequests:
+			c <- h.currentStatus()
 			continue
 		}
-		if err := h.work(ctx); err != nil {
+		if err := h.processReady(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// beat is the passing of a tick.
-func (h *Host) beat(n int) {
-	h.m.Tick()
-	lead, _ := h.m.Leader()
-	if h.m.IsLeader() && n%5 == 0 { // the duties' clock, four times a lease
-		h.heard[h.cfg.Name] = h.steady()
+// handleTick is the passing of a tick.
+func (h *Host) handleTick(ticks int) {
+	h.member.Tick()
+	leader, _ := h.member.Leader()
+	if h.member.IsLeader() && ticks%5 == 0 { // the duties' clock, four times a lease
+		h.heartbeats[h.cfg.Name] = h.steadyTime()
 		t := duty.Tick{Now: time.Duration(time.Now().UnixNano())}
 		for _, p := range h.cfg.Peers {
-			if at, ok := h.heard[p.Name]; ok {
+			if at, ok := h.heartbeats[p.Name]; ok {
 				t.Heard, t.At = append(t.Heard, p.Name), append(t.At, at)
 			}
 		}
-		clear(h.heard)
+		clear(h.heartbeats)
 		h.propose(t)
-	} else if lead != 0 && lead != h.cfg.ID && n%3 == 0 {
-		h.post(lead, HeartbeatFrame(h.steady()))
+	} else if leader != 0 && leader != h.cfg.ID && ticks%3 == 0 {
+		h.enqueue(leader, HeartbeatFrame(h.steadyTime()))
 	}
-	if lead != 0 && n%10 == 0 {
+	if leader != 0 && ticks%10 == 0 {
 		if !h.joined {
-			h.propose(duty.Join{Member: h.cfg.Name, Incarnation: h.life})
+			h.propose(duty.Join{Member: h.cfg.Name, Incarnation: h.incarnation})
 		}
-		if h.m.IsLeader() {
-			for _, r := range h.m.State().MissingRegistrations(h.cfg.Duties) {
+		if h.member.IsLeader() {
+			for _, r := range h.member.State().MissingRegistrations(h.cfg.Duties) {
 				h.propose(r)
 			}
 		}
 	}
-	if n%200 == 0 { // a certificate that was renewed, or revoked
+	if ticks%200 == 0 { // a certificate that was renewed, or revoked
 		if err := h.cfg.Credentials.Reload(); err != nil {
 			h.log.Error("cluster files not reread", "error", err)
 		}
@@ -248,56 +248,56 @@
 // propose asks for an entry; what is refused or lost is asked for again by whoever
 // still misses it.
 func (h *Host) propose(e duty.Entry) {
-	if err := h.m.Propose(e); err != nil && !errors.Is(err, ErrNoLeader) {
+	if err := h.member.Propose(e); err != nil && !errors.Is(err, ErrNoLeader) {
 		h.log.Debug("proposal refused", "entry", fmt.Sprintf("%T", e), "error", err)
 	}
 }
 
-func (h *Host) post(to uint64, f Frame) {
+func (h *Host) enqueue(to uint64, f Frame) {
 	select {
-	case h.out[to] <- f:
+	case h.outboxes[to] <- f:
 	default: // also a peer that is not listed
-		h.counts.DroppedFrames++
+		h.counters.DroppedFrames++
 	}
 }
 
-func (h *Host) receive(r received) {
-	switch r.f.Type {
+func (h *Host) handleFrame(r inboundFrame) {
+	switch r.frame.Type {
 	case FrameRaft:
-		m, err := r.f.Raft()
-		if err == nil && m.GetFrom() != r.from && m.GetType() != pb.MsgProp && m.GetType() != pb.MsgReadIndex {
+		m, err := r.frame.Raft()
+		if err == nil && m.GetFrom() != r.member && m.GetType() != pb.MsgProp && m.GetType() != pb.MsgReadIndex {
 			err = fmt.Errorf("%w: it says it is from member %d", ErrInvalidIdentity, m.GetFrom())
 		}
 		if err == nil {
-			err = h.m.Step(m)
+			err = h.member.Step(m)
 		}
 		if err != nil && !errors.Is(err, ErrMemberFailed) {
-			h.log.Warn("message refused", "member", r.from, "error", err)
+			h.log.Warn("message refused", "member", r.member, "error", err)
 		}
 	case FrameHeartbeat:
-		at, err := r.f.Heartbeat()
+		at, err := r.frame.Heartbeat()
 		if err != nil {
-			h.log.Warn("message refused", "member", r.from, "error", err)
+			h.log.Warn("message refused", "member", r.member, "error", err)
 			return
 		}
 		for _, p := range h.cfg.Peers {
-			if p.ID == r.from {
-				h.heard[p.Name] = max(h.heard[p.Name], at)
+			if p.ID == r.member {
+				h.heartbeats[p.Name] = max(h.heartbeats[p.Name], at)
 			}
 		}
 	}
 }
 
-// work saves, sends, applies, and starts and stops what is to run.
-func (h *Host) work(ctx context.Context) error {
-	led := h.m.IsLeader()
-	out, err := h.m.ProcessReady()
+// processReady saves, sends, applies, and starts and stops what is to run.
+func (h *Host) processReady(ctx context.Context) error {
+	wasLeader := h.member.IsLeader()
+	out, err := h.member.ProcessReady()
 	if err != nil {
 		return err
 	}
-	if h.m.IsLeader() && !led {
-		h.counts.ElectionsWon++
-		_, term := h.m.Leader()
+	if h.member.IsLeader() && !wasLeader {
+		h.counters.ElectionsWon++
+		_, term := h.member.Leader()
 		h.log.Info("leads", "term", term)
 	}
 	for _, m := range out.Messages {
@@ -305,7 +305,7 @@
 		if err != nil {
 			return fmt.Errorf("cluster: %w", err)
 		}
-		h.post(m.GetTo(), f)
+		h.enqueue(m.GetTo(), f)
 	}
 	for _, e := range out.Applied {
 		switch e := e.(type) {
@@ -314,7 +314,7 @@
 				h.agent.RenewLease(e.At[k])
 			}
 		case duty.Join:
-			if e.Member == h.cfg.Name && e.Incarnation == h.life {
+			if e.Member == h.cfg.Name && e.Incarnation == h.incarnation {
 				h.joined = true
 			}
 		}
@@ -322,30 +322,30 @@
 	if !h.joined {
 		return nil // what the state says is of an earlier life
 	}
-	now, state := h.steady(), h.m.State()
+	now, state := h.steadyTime(), h.member.State()
 	stop, hung := h.agent.Stop(now, state)
 	for _, c := range stop {
-		h.running[c].stop()
+		h.running[c].cancel()
 	}
 	for _, c := range hung {
-		h.counts.Hung++
+		h.counters.Hung++
 		delete(h.running, c)
 		h.log.Error("duty hangs", "duty", c.Duty, "period", c.Period, "epoch", c.Epoch)
 	}
 	for _, c := range h.agent.Repropose(now, state) {
-		h.counts.Reproposed++
+		h.counters.Reproposed++
 		h.propose(duty.Done{Claim: c})
 	}
 	for _, c := range h.agent.Start(now, state) {
-		rctx, stop := context.WithCancel(ctx)
-		r := &run{stop: stop}
+		runCtx, cancel := context.WithCancel(ctx)
+		r := &run{cancel: cancel}
 		h.running[c] = r
-		h.counts.Runs++
-		h.runs.Go(func() {
-			defer stop()
-			end := result{c, r, safely(rctx, c, h.cfg.Run)}
+		h.counters.Runs++
+		h.runGroup.Go(func() {
+			defer cancel()
+			end := runResult{c, r, runRecovering(runCtx, c, h.cfg.Run)}
 			select {
-			case h.ended <- end:
+			case h.runResults <- end:
 			case <-ctx.Done():
 			}
 		})
@@ -353,8 +353,8 @@
 	return nil
 }
 
-// safely runs a duty; what it does wrong is an error of that run.
-func safely(ctx context.Context, c duty.Claim, run func(context.Context, duty.Claim) error) (err error) {
+// runRecovering runs a duty; what it does wrong is an error of that run.
+func runRecovering(ctx context.Context, c duty.Claim, run func(context.Context, duty.Claim) error) (err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("duty %s panicked: %v", c.Duty, x)
@@ -363,32 +363,32 @@
 	return run(ctx, c)
 }
 
-func (h *Host) end(r result) {
-	if h.running[r.c] != r.r { // it was given up, and has come back
-		h.agent.HungRunEnded(r.c)
+func (h *Host) finishRun(r runResult) {
+	if h.running[r.claim] != r.run { // it was given up, and has come back
+		h.agent.HungRunEnded(r.claim)
 		if r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone) {
 			return
 		}
 	} else {
-		delete(h.running, r.c)
+		delete(h.running, r.claim)
 	}
 	switch {
 	case errors.Is(r.err, duty.ErrFenced):
-		h.counts.Fenced++
-		h.log.Info("duty fenced", "duty", r.c.Duty, "period", r.c.Period, "epoch", r.c.Epoch)
+		h.counters.Fenced++
+		h.log.Info("duty fenced", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch)
 	case r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone):
-		h.counts.Failed++
-		h.log.Warn("duty failed", "duty", r.c.Duty, "period", r.c.Period, "epoch", r.c.Epoch, "error", r.err)
+		h.counters.Failed++
+		h.log.Warn("duty failed", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch, "error", r.err)
 	}
-	if h.agent.RunEnded(h.steady(), r.c, r.err) {
-		h.propose(duty.Done{Claim: r.c})
+	if h.agent.RunEnded(h.steadyTime(), r.claim, r.err) {
+		h.propose(duty.Done{Claim: r.claim})
 	}
 }
 
-func (h *Host) stand() Status {
-	lead, term := h.m.Leader()
-	s := h.m.State()
-	return Status{ID: h.cfg.ID, Leader: lead, Term: term, Applied: h.m.AppliedIndex(), Joined: h.joined, Counters: h.counts,
+func (h *Host) currentStatus() Status {
+	leader, term := h.member.Leader()
+	s := h.member.State()
+	return Status{ID: h.cfg.ID, Leader: leader, Term: term, Applied: h.member.AppliedIndex(), Joined: h.joined, Counters: h.counters,
 		Duties: s.Duties(), Members: s.Members(), Now: s.Now()}
 }
 
@@ -396,7 +396,7 @@
 func (h *Host) Status(ctx context.Context) (Status, error) {
 	c := make(chan Status, 1)
 	select {
-	case h.status <- c:
+	case h.statusRequests <- c:
 		return <-c, nil
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
@@ -405,9 +405,9 @@
 
 // ---- sockets
 
-// listen takes connections of other members.
-func (h *Host) listen(ctx context.Context, g *errgroup.Group) error {
-	room := make(chan struct{}, maxInConn)
+// acceptConns takes connections of other members.
+func (h *Host) acceptConns(ctx context.Context, g *errgroup.Group) error {
+	slots := make(chan struct{}, maxInboundConns)
 	for {
 		c, err := h.cfg.Listener.Accept()
 		if ctx.Err() != nil {
@@ -416,21 +416,21 @@
 		if err != nil {
 			h.log.Warn("no connection taken", "error", err)
 			select {
-			case <-time.After(redialMin): // out of descriptors, perhaps
+			case <-time.After(reconnectBackoffMin): // out of descriptors, perhaps
 				continue
 			case <-ctx.Done():
 				return nil
 			}
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			c.Close()
 			continue
 		}
 		g.Go(func() error {
-			defer func() { <-room }()
-			if err := h.hear(ctx, c); err != nil && ctx.Err() == nil {
+			defer func() { <-slots }()
+			if err := h.serveConn(ctx, c); err != nil && ctx.Err() == nil {
 				h.log.Info("connection ended", "from", c.RemoteAddr().String(), "error", err)
 			}
 			return nil
@@ -438,19 +438,19 @@
 	}
 }
 
-// hear reads what one member says until its connection ends.
-func (h *Host) hear(ctx context.Context, raw net.Conn) error {
+// serveConn reads what one member says until its connection ends.
+func (h *Host) serveConn(ctx context.Context, raw net.Conn) error {
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
 	c := tls.Server(raw, h.cfg.Credentials.ServerConfig())
-	if err := c.SetDeadline(time.Now().Add(dialWait)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return err
 	}
 	if err := c.HandshakeContext(ctx); err != nil {
 		return err
 	}
-	who, err := h.cfg.Credentials.PeerIdentity(c.ConnectionState())
+	identity, err := h.cfg.Credentials.PeerIdentity(c.ConnectionState())
 	if err != nil {
 		return err
 	}
@@ -462,8 +462,8 @@
 	if err != nil {
 		return err
 	}
-	if hello.Member != who.Member || hello.Installation != who.Installation {
-		return fmt.Errorf("%w: member %d calls itself %d", ErrInvalidIdentity, who.Member, hello.Member)
+	if hello.Member != identity.Member || hello.Installation != identity.Installation {
+		return fmt.Errorf("%w: member %d calls itself %d", ErrInvalidIdentity, identity.Member, hello.Member)
 	}
 	for {
 		// Beats come several times a lease; one who says nothing for long is gone.
@@ -477,41 +477,41 @@
 			return err
 		}
 		select {
-		case h.inbox <- received{who.Member, f}:
+		case h.inbox <- inboundFrame{identity.Member, f}:
 		default: // the host is slower than the line: the log sends again what matters
 		}
 	}
 }
 
-// send keeps a connection to a member and writes what is posted to it.
-func (h *Host) send(ctx context.Context, p Peer) {
-	pause := redialMin
+// sendToPeer keeps a connection to a member and writes what is posted to it.
+func (h *Host) sendToPeer(ctx context.Context, p Peer) {
+	backoff := reconnectBackoffMin
 	for ctx.Err() == nil {
-		err := h.talk(ctx, p, func() { pause = redialMin })
+		err := h.connectAndSend(ctx, p, func() { backoff = reconnectBackoffMin })
 		if ctx.Err() != nil {
 			return
 		}
 		h.log.Debug("no connection to a member", "member", p.ID, "error", err)
 		for drained := false; !drained; { // what waited is of the past
 			select {
-			case <-h.out[p.ID]:
+			case <-h.outboxes[p.ID]:
 			default:
 				drained = true
 			}
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, redialMax)
+		backoff = min(2*backoff, reconnectBackoffMax)
 	}
 }
 
-func (h *Host) talk(ctx context.Context, p Peer, up func()) error {
-	dial, cancel := context.WithTimeout(ctx, dialWait)
+func (h *Host) connectAndSend(ctx context.Context, p Peer, onConnected func()) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	d := tls.Dialer{Config: h.cfg.Credentials.ClientConfig(p.ID)}
-	c, err := d.DialContext(dial, "tcp", p.Addr)
+	c, err := d.DialContext(dialCtx, "tcp", p.Addr)
 	if err != nil {
 		return err
 	}
@@ -526,20 +526,20 @@
 	if err != nil {
 		return err
 	}
-	up()
+	onConnected()
 	var b []byte
 	for {
 		if b, err = AppendFrame(b[:0], f); err != nil {
 			return err
 		}
-		if err := c.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
 		if _, err := c.Write(b); err != nil {
 			return err
 		}
 		select {
-		case f = <-h.out[p.ID]:
+		case f = <-h.outboxes[p.ID]:
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -31,9 +31,9 @@
 )
 
 // The test binary is also the instance that the test starts, kills and stops.
-const nodeEnv = "VIOLETSPAN_TEST_INSTANCE"
+const instanceEnv = "VIOLETSPAN_TEST_INSTANCE"
 
-type nodeConfig struct {
+type instanceConfig struct {
 	ID     uint64
 	Dir    string
 	Peers  []Peer // each by the way that the test may cut
@@ -43,8 +43,8 @@
 }
 
 func TestMain(m *testing.M) {
-	if text := os.Getenv(nodeEnv); text != "" {
-		if err := instance(text); err != nil {
+	if text := os.Getenv(instanceEnv); text != "" {
+		if err := runInstance(text); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -53,17 +53,17 @@
 	os.Exit(m.Run())
 }
 
-// instance runs one member until its input ends.
-func instance(text string) error {
-	var c nodeConfig
-	if err := json.Unmarshal([]byte(text), &c); err != nil {
+// runInstance runs one member until its input ends.
+func runInstance(text string) error {
+	var cfg instanceConfig
+	if err := json.Unmarshal([]byte(text), &cfg); err != nil {
 		return err
 	}
-	keys, err := OpenCredentials(c.Dir)
+	keys, err := OpenCredentials(cfg.Dir)
 	if err != nil {
 		return err
 	}
-	disk, err := OpenStore(filepath.Join(c.Dir, "store"), c.ID)
+	disk, err := OpenStore(filepath.Join(cfg.Dir, "store"), cfg.ID)
 	if err != nil {
 		return err
 	}
@@ -72,9 +72,9 @@
 	if err != nil {
 		return err
 	}
-	name := memberName(c.ID)
-	h, err := NewHost(HostConfig{ID: c.ID, Name: name, Credentials: keys, Listener: ln, Peers: c.Peers, Bootstrap: true, Storage: disk, Duties: c.Duties, Lease: c.Lease,
-		Run: func(ctx context.Context, cl duty.Claim) error { return claimAt(ctx, c.Sink, name, cl) },
+	name := memberName(cfg.ID)
+	h, err := NewHost(HostConfig{ID: cfg.ID, Name: name, Credentials: keys, Listener: ln, Peers: cfg.Peers, Bootstrap: true, Storage: disk, Duties: cfg.Duties, Lease: cfg.Lease,
+		Run: func(ctx context.Context, cl duty.Claim) error { return submitClaim(ctx, cfg.Sink, name, cl) },
 		Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	if err != nil {
 		return err
@@ -89,14 +89,14 @@
 	return h.Run(ctx)
 }
 
-// question is what an instance asks the sink.
-type question struct {
+// sinkRequest is what an instance asks the sink.
+type sinkRequest struct {
 	Name  string
 	Claim duty.Claim
 }
 
-// claimAt asks the sink over a connection of its own.
-func claimAt(ctx context.Context, addr, name string, c duty.Claim) error {
+// submitClaim asks the sink over a connection of its own.
+func submitClaim(ctx context.Context, addr, member string, c duty.Claim) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -105,7 +105,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := json.NewEncoder(conn).Encode(question{name, c}); err != nil {
+	if err := json.NewEncoder(conn).Encode(sinkRequest{member, c}); err != nil {
 		return err
 	}
 	answer, err := bufio.NewReader(conn).ReadString('\n')
@@ -126,15 +126,15 @@
 
 	mu      sync.Mutex
 	sink    *duty.Sink
-	effects []effect
+	effects []recordedEffect
 	fenced  int
 	repeats int
 }
 
-type effect struct {
-	at   time.Time
-	name string
-	c    duty.Claim
+type recordedEffect struct {
+	at    time.Time
+	name  string
+	claim duty.Claim
 }
 
 func newSinkServer(t testing.TB) *sinkServer {
@@ -143,9 +143,9 @@
 	s.ln, err = standin.Serve(func(c net.Conn) {
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-		var q question
-		if json.NewDecoder(c).Decode(&q) == nil {
-			fmt.Fprintln(c, s.take(q.Name, q.Claim))
+		var request sinkRequest
+		if json.NewDecoder(c).Decode(&request) == nil {
+			fmt.Fprintln(c, s.accept(request.Name, request.Claim))
 		}
 	})
 	if err != nil {
@@ -155,12 +155,12 @@
 	return s
 }
 
-func (s *sinkServer) take(name string, c duty.Claim) string {
+func (s *sinkServer) accept(name string, c duty.Claim) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch err := s.sink.Accept(c); {
 	case err == nil:
-		s.effects = append(s.effects, effect{time.Now(), name, c})
+		s.effects = append(s.effects, recordedEffect{time.Now(), name, c})
 		return "ok"
 	case errors.Is(err, duty.ErrAlreadyDone):
 		s.repeats++
@@ -171,19 +171,19 @@
 	}
 }
 
-// procs are the instances as processes.
-type procs struct {
+// processes are the instances as processes.
+type processes struct {
 	t       *testing.T
 	configs []string
 	cmds    []*exec.Cmd
-	ins     []io.WriteCloser
-	w       *standin.Links
+	stdins  []io.WriteCloser
+	links   *standin.Links
 	logs    *os.File
 }
 
-func (p *procs) start(i int) {
+func (p *processes) start(i int) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), nodeEnv+"="+p.configs[i])
+	cmd.Env = append(os.Environ(), instanceEnv+"="+p.configs[i])
 	cmd.Stderr = p.logs
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -200,14 +200,14 @@
 	if err != nil {
 		p.t.Fatalf("instance %d: %v", i+1, err)
 	}
-	p.w.At(uint64(i+1), strings.TrimSpace(addr))
-	p.cmds[i], p.ins[i] = cmd, in
+	p.links.At(uint64(i+1), strings.TrimSpace(addr))
+	p.cmds[i], p.stdins[i] = cmd, in
 }
 
-func (p *procs) kill(i int) {
+func (p *processes) kill(i int) {
 	_ = p.cmds[i].Process.Kill() // it may have ended by itself, which Wait tells
 	_ = p.cmds[i].Wait()
-	p.ins[i].Close()
+	p.stdins[i].Close()
 }
 
 // Seven real processes on loopback, killed, stopped and cut off from each other at
@@ -217,10 +217,10 @@
 	const n = 7
 	seed := uint64(1)
 	r := rand.New(rand.NewPCG(seed, 2))
-	ca, _ := party(t, "tran")
+	ca, _ := newInstallation(t, "tran")
 	sink := newSinkServer(t)
-	w := standin.NewLinks()
-	defer w.Close()
+	links := standin.NewLinks()
+	defer links.Close()
 	var duties []duty.Spec
 	for d := range 14 {
 		duties = append(duties, duty.Spec{Name: fmt.Sprint("duty-", d), Period: 300 * time.Millisecond, Deadline: 2 * time.Second, MakeUp: true, MostMissed: 1 << 20})
@@ -230,17 +230,17 @@
 		t.Fatal(err)
 	}
 	defer logs.Close()
-	p := &procs{t: t, w: w, cmds: make([]*exec.Cmd, n), ins: make([]io.WriteCloser, n), logs: logs}
+	p := &processes{t: t, links: links, cmds: make([]*exec.Cmd, n), stdins: make([]io.WriteCloser, n), logs: logs}
 	for i := range uint64(n) {
 		dir := filepath.Join(t.TempDir(), "member")
 		if err := ca.Issue(dir, i+1, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		c := nodeConfig{ID: i + 1, Dir: dir, Sink: sink.ln.Addr().String(), Duties: duties, Lease: *leaseFlag}
+		c := instanceConfig{ID: i + 1, Dir: dir, Sink: sink.ln.Addr().String(), Duties: duties, Lease: *leaseFlag}
 		for j := range uint64(n) {
 			peer := Peer{ID: j + 1, Name: memberName(j + 1)}
 			if i != j {
-				if peer.Addr, err = w.Open(i+1, j+1); err != nil {
+				if peer.Addr, err = links.Open(i+1, j+1); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -262,115 +262,115 @@
 		}
 	}()
 	time.Sleep(2*time.Second + 2**leaseFlag) // a leader, joins, duties
-	type gone struct {
+	type outage struct {
 		name string
 		at   time.Time
 	}
-	var gones []gone
+	var outages []outage
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	busy := make([]bool, n)
-	free := func() int { // one to break, so that four of seven are always well
+	disrupted := make([]bool, n)
+	pickMember := func() int { // one to break, so that four of seven are always well
 		mu.Lock()
 		defer mu.Unlock()
-		if c := slices.DeleteFunc(slices.Clone(busy), func(b bool) bool { return !b }); len(c) >= 3 {
+		if c := slices.DeleteFunc(slices.Clone(disrupted), func(b bool) bool { return !b }); len(c) >= 3 {
 			return -1
 		}
 		i := r.IntN(n)
-		if busy[i] {
+		if disrupted[i] {
 			return -1
 		}
-		busy[i] = true
+		disrupted[i] = true
 		return i
 	}
-	kinds := map[string]int{}
+	faultCounts := map[string]int{}
 	for end := time.Now().Add(*chaosFlag); time.Now().Before(end); time.Sleep(time.Duration(300+r.IntN(900)) * time.Millisecond) {
-		i := free()
+		i := pickMember()
 		if i < 0 {
 			continue
 		}
-		how, length := r.IntN(3), time.Duration(1500+r.IntN(2500))*time.Millisecond
-		kinds[[]string{"killed", "stopped", "cut off"}[how]]++
-		gones = append(gones, gone{memberName(uint64(i + 1)), time.Now()})
+		faultKind, duration := r.IntN(3), time.Duration(1500+r.IntN(2500))*time.Millisecond
+		faultCounts[[]string{"killed", "stopped", "cut off"}[faultKind]]++
+		outages = append(outages, outage{memberName(uint64(i + 1)), time.Now()})
 		other, oneWay := uint64(1+r.IntN(n)), r.IntN(2) == 0
-		switch how {
+		switch faultKind {
 		case 0:
 			p.kill(i)
 		case 1:
 			_ = p.cmds[i].Process.Signal(syscall.SIGSTOP)
 		}
 		wg.Go(func() {
-			defer func() { mu.Lock(); busy[i] = false; mu.Unlock() }()
-			me := uint64(i + 1)
-			if how == 2 {
+			defer func() { mu.Lock(); disrupted[i] = false; mu.Unlock() }()
+			self := uint64(i + 1)
+			if faultKind == 2 {
 				for j := uint64(1); j <= n; j++ {
 					if oneWay && j != other { // what it says reaches nobody but one; it hears all
-						w.Cut(me, j, true)
+						links.Cut(self, j, true)
 					} else if !oneWay {
-						w.Cut(me, j, true)
-						w.Cut(j, me, true)
+						links.Cut(self, j, true)
+						links.Cut(j, self, true)
 					}
 				}
 			}
-			time.Sleep(length)
-			switch how {
+			time.Sleep(duration)
+			switch faultKind {
 			case 0:
 				p.start(i)
 			case 1:
 				_ = p.cmds[i].Process.Signal(syscall.SIGCONT)
 			default:
 				for j := uint64(1); j <= n; j++ {
-					w.Cut(me, j, false)
-					w.Cut(j, me, false)
+					links.Cut(self, j, false)
+					links.Cut(j, self, false)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	settled := time.Now()
+	faultsEnded := time.Now()
 	time.Sleep(3*time.Second + 2**leaseFlag)
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	per := map[string][]effect{}
+	effectsByDuty := map[string][]recordedEffect{}
 	for _, e := range sink.effects {
-		per[e.c.Duty] = append(per[e.c.Duty], e)
+		effectsByDuty[e.claim.Duty] = append(effectsByDuty[e.claim.Duty], e)
 	}
-	if len(per) != len(duties) {
-		t.Errorf("%d of %d duties were ever done", len(per), len(duties))
+	if len(effectsByDuty) != len(duties) {
+		t.Errorf("%d of %d duties were ever done", len(effectsByDuty), len(duties))
 	}
-	for name, es := range per {
-		seen := map[int64]int{}
-		low, high := es[0].c.Period, es[0].c.Period
+	for name, es := range effectsByDuty {
+		doneCounts := map[int64]int{}
+		low, high := es[0].claim.Period, es[0].claim.Period
 		for _, e := range es {
-			seen[e.c.Period]++
-			low, high = min(low, e.c.Period), max(high, e.c.Period)
+			doneCounts[e.claim.Period]++
+			low, high = min(low, e.claim.Period), max(high, e.claim.Period)
 		}
 		for k := low; k <= high; k++ {
-			if seen[k] != 1 {
-				t.Errorf("%s: period %d done %d times", name, k, seen[k])
+			if doneCounts[k] != 1 {
+				t.Errorf("%s: period %d done %d times", name, k, doneCounts[k])
 			}
 		}
-		if last := es[len(es)-1].at; last.Before(settled.Add(2*time.Second + *leaseFlag)) {
+		if last := es[len(es)-1].at; last.Before(faultsEnded.Add(2*time.Second + *leaseFlag)) {
 			t.Errorf("%s: not done since %v before the end", name, time.Since(last).Round(time.Millisecond))
 		}
 	}
 	// How long a duty of an instance that is gone waits for another's first effect.
-	var took []time.Duration
-	for _, g := range gones {
-		for _, es := range per {
-			k := slices.IndexFunc(es, func(e effect) bool { return e.at.After(g.at) })
+	var takeovers []time.Duration
+	for _, g := range outages {
+		for _, es := range effectsByDuty {
+			k := slices.IndexFunc(es, func(e recordedEffect) bool { return e.at.After(g.at) })
 			if k <= 0 || es[k-1].name != g.name || es[k].name == g.name {
 				continue
 			}
-			took = append(took, es[k].at.Sub(g.at))
+			takeovers = append(takeovers, es[k].at.Sub(g.at))
 		}
 	}
-	slices.Sort(took)
-	if len(took) == 0 {
+	slices.Sort(takeovers)
+	if len(takeovers) == 0 {
 		t.Fatal("nothing was ever taken over")
 	}
-	t.Logf("%v; %d effects, %d fenced, %d found done; %d takeovers: p50 %v, p99 %v, most %v", kinds, len(sink.effects), sink.fenced, sink.repeats, len(took),
-		took[len(took)/2].Round(time.Millisecond), took[min(len(took)-1, len(took)*99/100)].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
+	t.Logf("%v; %d effects, %d fenced, %d found done; %d takeovers: p50 %v, p99 %v, most %v", faultCounts, len(sink.effects), sink.fenced, sink.repeats, len(takeovers),
+		takeovers[len(takeovers)/2].Round(time.Millisecond), takeovers[min(len(takeovers)-1, len(takeovers)*99/100)].Round(time.Millisecond), takeovers[len(takeovers)-1].Round(time.Millisecond))
 	if t.Failed() {
 		if b, err := os.ReadFile(logs.Name()); err == nil {
 			t.Logf("%.4000s", b)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -55,10 +55,10 @@
 
 // Times, in ticks of the host's.
 const (
-	electionTicks  = 10 // silence of the leader after which a member may stand, up to twice that
-	heartbeatTicks = 2
-	keepEntries    = 256 // behind a snapshot, for members that are a little behind
-	maxPending     = 1 << 20
+	electionTicks       = 10 // silence of the leader after which a member may stand, up to twice that
+	heartbeatTicks      = 2
+	trailingEntries     = 256 // behind a snapshot, for members that are a little behind
+	maxUncommittedBytes = 1 << 20
 )
 
 // Errors of a Member.
@@ -70,17 +70,17 @@
 
 // Member is one instance's part of the log. It may be used by one goroutine at a time.
 type Member struct {
-	cfg     Config
-	rn      *raft.RawNode
-	mem     *raft.MemoryStorage
-	state   *duty.State
-	applied uint64
-	snapAt  uint64
-	conf    *pb.ConfState
-	changed bool // the members have, since the last snapshot
-	silent  int  // ticks since the leader was heard
-	stand   int  // ticks of silence after which it stands
-	broken  error
+	cfg             Config
+	node            *raft.RawNode
+	raftLog         *raft.MemoryStorage
+	state           *duty.State
+	appliedIndex    uint64
+	snapshotIndex   uint64
+	confState       *pb.ConfState
+	confChanged     bool // the members have, since the last snapshot
+	electionElapsed int  // ticks since the leader was heard
+	electionTimeout int  // ticks of silence after which it stands
+	failure         error
 }
 
 // Output is what a step of work brings.
@@ -99,93 +99,95 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	k, err := cfg.Storage.Load()
+	stored, err := cfg.Storage.Load()
 	if err != nil {
 		return nil, err
 	}
-	m := &Member{cfg: cfg, mem: raft.NewMemoryStorage(), state: duty.New(cfg.Duty), conf: &pb.ConfState{}}
-	fresh := raft.IsEmptyHardState(k.HardState) && raft.IsEmptySnap(k.Snapshot) && len(k.Entries) == 0
+	m := &Member{cfg: cfg, raftLog: raft.NewMemoryStorage(), state: duty.New(cfg.Duty), confState: &pb.ConfState{}}
+	fresh := raft.IsEmptyHardState(stored.HardState) && raft.IsEmptySnap(stored.Snapshot) && len(stored.Entries) == 0
 	if fresh && len(cfg.InitialMembers) > 0 {
 		// Founders begin from the same snapshot, at an index of its own: nothing is
 		// agreed on before there is a majority, but who it is of.
-		empty, err := m.state.Save()
+		emptyState, err := m.state.Save()
 		if err != nil {
 			return nil, err
 		}
-		k.Snapshot = &pb.Snapshot{Data: empty, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+		stored.Snapshot = &pb.Snapshot{Data: emptyState, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 			ConfState: &pb.ConfState{Voters: cfg.InitialMembers}}}
-		k.HardState = &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-		if err := cfg.Storage.Save(&WriteBatch{HardState: k.HardState, Snapshot: k.Snapshot}); err != nil {
+		stored.HardState = &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
+		if err := cfg.Storage.Save(&WriteBatch{HardState: stored.HardState, Snapshot: stored.Snapshot}); err != nil {
 			return nil, err
 		}
 	}
-	if !raft.IsEmptySnap(k.Snapshot) {
-		if err := m.mem.ApplySnapshot(k.Snapshot); err != nil {
+	if !raft.IsEmptySnap(stored.Snapshot) {
+		if err := m.raftLog.ApplySnapshot(stored.Snapshot); err != nil {
 			return nil, fmt.Errorf("cluster: snapshot: %w", err)
 		}
-		if err := m.restore(k.Snapshot); err != nil {
+		if err := m.restoreSnapshot(stored.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	if !raft.IsEmptyHardState(k.HardState) {
-		if err := m.mem.SetHardState(k.HardState); err != nil {
+	if !raft.IsEmptyHardState(stored.HardState) {
+		if err := m.raftLog.SetHardState(stored.HardState); err != nil {
 			return nil, fmt.Errorf("cluster: hard state: %w", err)
 		}
 	}
-	if err := m.mem.Append(k.Entries); err != nil {
+	if err := m.raftLog.Append(stored.Entries); err != nil {
 		return nil, fmt.Errorf("cluster: entries: %w", err)
 	}
-	m.rn, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: m.mem,
-		Applied: m.applied, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: maxPending,
+	m.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: m.raftLog,
+		Applied: m.appliedIndex, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: false, StepDownOnRemoval: true,
-		Logger: &raft.DefaultLogger{Logger: discard}})
+		Logger: &raft.DefaultLogger{Logger: discardLogger}})
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	m.draw()
+	m.resetElectionTimer()
 	return m, nil
 }
 
-func (m *Member) draw() { m.silent, m.stand = 0, electionTicks+m.cfg.Rand.IntN(electionTicks) }
+func (m *Member) resetElectionTimer() {
+	m.electionElapsed, m.electionTimeout = 0, electionTicks+m.cfg.Rand.IntN(electionTicks)
+}
 
 // State is the replicated state as far as it is applied here. It must not be changed.
 func (m *Member) State() *duty.State { return m.state }
 
 // Leader says who leads as far as is known here, 0 if nobody, and in which term.
 func (m *Member) Leader() (id, term uint64) {
-	st := m.rn.BasicStatus()
+	st := m.node.BasicStatus()
 	return st.Lead, st.GetTerm()
 }
 
 // IsLeader says whether this member is the leader.
-func (m *Member) IsLeader() bool { return m.rn.BasicStatus().RaftState == raft.StateLeader }
+func (m *Member) IsLeader() bool { return m.node.BasicStatus().RaftState == raft.StateLeader }
 
 // AppliedIndex is the index up to which the state is applied here.
-func (m *Member) AppliedIndex() uint64 { return m.applied }
+func (m *Member) AppliedIndex() uint64 { return m.appliedIndex }
 
 // Tick is the passing of one unit of the host's time.
 //
 // When to stand for leader is timed here and not by the library, which draws from a
 // source that no seed decides.
 func (m *Member) Tick() {
-	if m.broken != nil {
+	if m.failure != nil {
 		return
 	}
 	if m.IsLeader() {
-		m.draw()
-		m.rn.Tick() // heartbeats, and stepping down without a majority
+		m.resetElectionTimer()
+		m.node.Tick() // heartbeats, and stepping down without a majority
 		return
 	}
-	m.rn.TickQuiesced()
-	if m.silent++; m.silent >= m.stand {
-		m.draw()
-		_ = m.rn.Campaign() // refused for one that is no voter
+	m.node.TickQuiesced()
+	if m.electionElapsed++; m.electionElapsed >= m.electionTimeout {
+		m.resetElectionTimer()
+		_ = m.node.Campaign() // refused for one that is no voter
 	}
 }
 
 // Step takes in a message of another member.
 func (m *Member) Step(msg *pb.Message) error {
-	if m.broken != nil {
+	if m.failure != nil {
 		return ErrMemberFailed
 	}
 	if msg.GetTo() != m.cfg.ID {
@@ -194,14 +196,14 @@
 	if raft.IsLocalMsg(msg.GetType()) {
 		return fmt.Errorf("cluster: a message of type %v from outside", msg.GetType())
 	}
-	term := m.rn.BasicStatus().GetTerm()
+	term := m.node.BasicStatus().GetTerm()
 	switch msg.GetType() {
 	case pb.MsgHeartbeat, pb.MsgApp, pb.MsgSnap:
 		if msg.GetTerm() >= term {
-			m.silent = 0
+			m.electionElapsed = 0
 		}
 	}
-	if err := m.rn.Step(msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
+	if err := m.node.Step(msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	return nil
@@ -214,13 +216,13 @@
 	if err != nil {
 		return err
 	}
-	if m.broken != nil {
+	if m.failure != nil {
 		return ErrMemberFailed
 	}
-	if lead, _ := m.Leader(); lead == 0 {
+	if leader, _ := m.Leader(); leader == 0 {
 		return ErrNoLeader
 	}
-	if err := m.rn.Propose(b); errors.Is(err, raft.ErrProposalDropped) {
+	if err := m.node.Propose(b); errors.Is(err, raft.ErrProposalDropped) {
 		return ErrTooManyProposals
 	} else if err != nil {
 		return fmt.Errorf("cluster: %w", err)
@@ -230,14 +232,14 @@
 
 // ProposeConfChange asks for a change of the members: joint, so that no two majorities exist on
 // the way.
-func (m *Member) ProposeConfChange(steps ...*pb.ConfChangeSingle) error {
-	if m.broken != nil {
+func (m *Member) ProposeConfChange(changes ...*pb.ConfChangeSingle) error {
+	if m.failure != nil {
 		return ErrMemberFailed
 	}
-	if lead, _ := m.Leader(); lead == 0 {
+	if leader, _ := m.Leader(); leader == 0 {
 		return ErrNoLeader
 	}
-	if err := m.rn.ProposeConfChange(&pb.ConfChangeV2{Changes: steps}); err != nil {
+	if err := m.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	return nil
@@ -246,73 +248,73 @@
 // ReadIndex asks when the state here is as new as anything agreed on before now; the token
 // turns up in Reads then, or never.
 func (m *Member) ReadIndex(token uint64) error {
-	if m.broken != nil {
+	if m.failure != nil {
 		return ErrMemberFailed
 	}
-	if lead, _ := m.Leader(); lead == 0 {
+	if leader, _ := m.Leader(); leader == 0 {
 		return ErrNoLeader
 	}
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(token >> (8 * i))
 	}
-	m.rn.ReadIndex(b[:])
+	m.node.ReadIndex(b[:])
 	return nil
 }
 
 // Voters returns who may vote and who only learns.
 func (m *Member) Voters() (voters, learners []uint64) {
-	return m.conf.GetVoters(), m.conf.GetLearners()
+	return m.confState.GetVoters(), m.confState.GetLearners()
 }
 
-// maxRounds bounds one Work.
-const maxRounds = 64
+// maxReadyRounds bounds one Work.
+const maxReadyRounds = 64
 
 // ProcessReady does what is due: saves, applies, and gives what is to be sent. An error of the
 // disk stops the member for good: what it may have promised is not known to be kept.
 func (m *Member) ProcessReady() (*Output, error) {
 	out := &Output{}
-	if m.broken != nil {
-		return out, m.broken
+	if m.failure != nil {
+		return out, m.failure
 	}
-	for round := 0; round < maxRounds && m.rn.HasReady(); round++ {
-		rd := m.rn.Ready()
-		c := &WriteBatch{Entries: rd.Entries}
+	for round := 0; round < maxReadyRounds && m.node.HasReady(); round++ {
+		rd := m.node.Ready()
+		batch := &WriteBatch{Entries: rd.Entries}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			c.HardState = rd.HardState
+			batch.HardState = rd.HardState
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			c.Snapshot, c.Received = rd.Snapshot, true
+			batch.Snapshot, batch.Received = rd.Snapshot, true
 		}
-		if c.HardState != nil || c.Snapshot != nil || len(c.Entries) > 0 {
-			if err := m.cfg.Storage.Save(c); err != nil {
+		if batch.HardState != nil || batch.Snapshot != nil || len(batch.Entries) > 0 {
+			if err := m.cfg.Storage.Save(batch); err != nil {
 				return m.fail(out, err)
 			}
 		}
-		if c.Snapshot != nil {
-			if err := m.mem.ApplySnapshot(c.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+		if batch.Snapshot != nil {
+			if err := m.raftLog.ApplySnapshot(batch.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 				return m.fail(out, err)
 			}
-			if err := m.restore(c.Snapshot); err != nil {
+			if err := m.restoreSnapshot(batch.Snapshot); err != nil {
 				return m.fail(out, err)
 			}
 		}
-		if err := m.mem.Append(c.Entries); err != nil {
+		if err := m.raftLog.Append(batch.Entries); err != nil {
 			return m.fail(out, err)
 		}
-		if c.HardState != nil {
-			if err := m.mem.SetHardState(c.HardState); err != nil {
+		if batch.HardState != nil {
+			if err := m.raftLog.SetHardState(batch.HardState); err != nil {
 				return m.fail(out, err)
 			}
 		}
 		out.Messages = append(out.Messages, rd.Messages...)
 		for _, msg := range rd.Messages {
 			if msg.GetType() == pb.MsgSnap { // the link tells if it was lost; until then it counts as sent
-				m.rn.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
+				m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 			}
 		}
 		for _, e := range rd.CommittedEntries {
-			if err := m.apply(e, out); err != nil {
+			if err := m.applyEntry(e, out); err != nil {
 				return m.fail(out, err)
 			}
 		}
@@ -321,15 +323,15 @@
 			for i, b := range r.RequestCtx {
 				token |= uint64(b) << (8 * i)
 			}
-			if r.Index <= m.applied {
+			if r.Index <= m.appliedIndex {
 				out.ConfirmedReads = append(out.ConfirmedReads, token)
 			}
 		}
-		m.rn.Advance(rd)
+		m.node.Advance(rd)
 	}
 	// A member that joins ignores a snapshot that does not name it.
-	if m.applied >= m.snapAt+m.cfg.SnapshotEvery || m.changed && m.applied > m.snapAt {
-		if err := m.snapshot(); err != nil {
+	if m.appliedIndex >= m.snapshotIndex+m.cfg.SnapshotEvery || m.confChanged && m.appliedIndex > m.snapshotIndex {
+		if err := m.createSnapshot(); err != nil {
 			return m.fail(out, err)
 		}
 	}
@@ -337,13 +339,13 @@
 }
 
 func (m *Member) fail(out *Output, err error) (*Output, error) {
-	m.broken = fmt.Errorf("%w: %w", ErrMemberFailed, err)
+	m.failure = fmt.Errorf("%w: %w", ErrMemberFailed, err)
 	out.Messages = nil // what was not saved must not be said
-	return out, m.broken
+	return out, m.failure
 }
 
-func (m *Member) apply(e *pb.Entry, out *Output) error {
-	if e.GetIndex() <= m.applied {
+func (m *Member) applyEntry(e *pb.Entry, out *Output) error {
+	if e.GetIndex() <= m.appliedIndex {
 		return nil
 	}
 	switch e.GetType() {
@@ -364,54 +366,54 @@
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
-		m.conf, m.changed = m.rn.ApplyConfChange(cc), true
+		m.confState, m.confChanged = m.node.ApplyConfChange(cc), true
 	case pb.EntryConfChangeV2:
 		cc := &pb.ConfChangeV2{}
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
-		m.conf, m.changed = m.rn.ApplyConfChange(cc), true
+		m.confState, m.confChanged = m.node.ApplyConfChange(cc), true
 	}
-	m.applied = e.GetIndex()
+	m.appliedIndex = e.GetIndex()
 	return nil
 }
 
-// restore takes a snapshot's state.
-func (m *Member) restore(s *pb.Snapshot) error {
+// restoreSnapshot takes a snapshot's state.
+func (m *Member) restoreSnapshot(s *pb.Snapshot) error {
 	state, err := duty.Load(m.cfg.Duty, s.GetData())
 	if err != nil {
 		return err
 	}
-	m.state, m.applied, m.snapAt, m.conf = state, s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	m.state, m.appliedIndex, m.snapshotIndex, m.confState = state, s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	return nil
 }
 
-// snapshot saves the state and lets the entries before it go, but for some.
-func (m *Member) snapshot() error {
+// createSnapshot saves the state and lets the entries before it go, but for some.
+func (m *Member) createSnapshot() error {
 	b, err := m.state.Save()
 	if err != nil {
 		return err
 	}
-	s, err := m.mem.CreateSnapshot(m.applied, m.conf, b)
+	snapshot, err := m.raftLog.CreateSnapshot(m.appliedIndex, m.confState, b)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if err := m.cfg.Storage.Save(&WriteBatch{Snapshot: s}); err != nil {
+	if err := m.cfg.Storage.Save(&WriteBatch{Snapshot: snapshot}); err != nil {
 		return err
 	}
-	m.snapAt, m.changed = m.applied, false
-	first, err := m.mem.FirstIndex()
+	m.snapshotIndex, m.confChanged = m.appliedIndex, false
+	first, err := m.raftLog.FirstIndex()
 	if err != nil {
 		return err
 	}
-	if to := m.applied - min(m.applied, keepEntries); to >= first {
-		if err := m.mem.Compact(to); err != nil {
+	if compactIndex := m.appliedIndex - min(m.appliedIndex, trailingEntries); compactIndex >= first {
+		if err := m.raftLog.Compact(compactIndex); err != nil {
 			return fmt.Errorf("compact: %w", err)
 		}
 	}
 	return nil
 }
 
-var discard = stdLogger(io.Discard)
+var discardLogger = newStdLogger(io.Discard)
 
-func stdLogger(w io.Writer) *log.Logger { return log.New(w, "", 0) }
+func newStdLogger(w io.Writer) *log.Logger { return log.New(w, "", 0) }
--- a/internal/cluster/pki.go
+++ b/internal/cluster/pki.go
@@ -44,7 +44,7 @@
 const (
 	CAValidity     = 10 * 365 * 24 * time.Hour
 	MemberValidity = 90 * 24 * time.Hour
-	maxKeyFile     = 1 << 20
+	maxFileBytes   = 1 << 20
 	backdate       = 5 * time.Minute // clocks of a new installation may differ by so much
 )
 
@@ -70,7 +70,9 @@
 	NotAfter     time.Time
 }
 
-func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) }
+func newSerial() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+}
 
 // NewCA makes an authority and writes it into a folder; files that are there are never
 // replaced.
@@ -85,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := serial()
+	n, err := newSerial()
 	if err != nil {
 		return nil, err
 	}
@@ -96,17 +98,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := writeNew(filepath.Join(dir, FileCAKey), key, nil); err != nil {
+	if err := createPEM(filepath.Join(dir, FileCAKey), key, nil); err != nil {
 		return nil, err
 	}
-	if err := writeNew(filepath.Join(dir, FileCACert), nil, der); err != nil {
+	if err := createPEM(filepath.Join(dir, FileCACert), nil, der); err != nil {
 		return nil, err
 	}
 	return OpenCA(dir)
 }
 
-// writeNew writes a key or a certificate in PEM into a file that must not be there.
-func writeNew(path string, key *ecdsa.PrivateKey, cert []byte) error {
+// createPEM writes a key or a certificate in PEM into a file that must not be there.
+func createPEM(path string, key *ecdsa.PrivateKey, cert []byte) error {
 	block, mode := &pem.Block{Type: "CERTIFICATE", Bytes: cert}, fs.FileMode(modePublic)
 	if key != nil {
 		b, err := x509.MarshalPKCS8PrivateKey(key)
@@ -193,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := serial()
+	n, err := newSerial()
 	if err != nil {
 		return err
 	}
@@ -217,7 +219,7 @@
 		path := filepath.Join(dir, f.name)
 		tmp := path + ".new"
 		_ = os.Remove(tmp) // of an issue that was broken off
-		if err := writeNew(tmp, f.key, f.cert); err != nil {
+		if err := createPEM(tmp, f.key, f.cert); err != nil {
 			return err
 		}
 		if err := os.Rename(tmp, path); err != nil {
@@ -233,13 +235,13 @@
 type Credentials struct {
 	dir string
 
-	mu      sync.Mutex // guards all below
-	pair    *tls.Certificate
-	leaf    *x509.Certificate
-	roots   *x509.CertPool
-	org     string
-	revoked map[string]bool
-	stamp   string
+	mu           sync.Mutex // guards all below
+	pair         *tls.Certificate
+	leaf         *x509.Certificate
+	roots        *x509.CertPool
+	installation string
+	revoked      map[string]bool
+	contentHash  string
 	// Now is the wall clock; tests replace it.
 	Now func() time.Time
 }
@@ -256,17 +258,17 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	// By content: two files of one size may be written within one tick of a file system.
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, name := range []string{FileCACert, FileCert, FileKey, FileRevoked} {
 		path := filepath.Join(k.dir, name)
 		if st, err := os.Stat(path); err == nil {
-			b, err := strict.Read(path, maxKeyFile)
-			_, _ = fmt.Fprint(sum, name, st.Mode(), len(b), err) // a hash takes every write
-			_, _ = sum.Write(b)
+			b, err := strict.Read(path, maxFileBytes)
+			_, _ = fmt.Fprint(hash, name, st.Mode(), len(b), err) // a hash takes every write
+			_, _ = hash.Write(b)
 		}
 	}
-	stamp := string(sum.Sum(nil))
-	if stamp == k.stamp {
+	contentHash := string(hash.Sum(nil))
+	if contentHash == k.contentHash {
 		return nil
 	}
 	ca, err := readCert(filepath.Join(k.dir, FileCACert))
@@ -301,9 +303,9 @@
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(ca)
-	k.pair, k.leaf, k.roots, k.org, k.revoked, k.stamp = &pair, leaf, pool, ca.Subject.Organization[0], revoked, stamp
+	k.pair, k.leaf, k.roots, k.installation, k.revoked, k.contentHash = &pair, leaf, pool, ca.Subject.Organization[0], revoked, contentHash
 	if _, err := k.identify(leaf); err != nil {
-		k.stamp = ""
+		k.contentHash = ""
 		return fmt.Errorf("%s: %w", k.dir, err)
 	}
 	return nil
@@ -323,22 +325,22 @@
 	if _, err := c.Verify(x509.VerifyOptions{Roots: k.roots, CurrentTime: k.Now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
 		return id, fmt.Errorf("%w: %w", ErrInvalidIdentity, err)
 	}
-	if len(c.URIs) != 1 || c.URIs[0].Scheme != "violetspan" || c.URIs[0].Host != k.org {
-		return id, fmt.Errorf("%w: it names no member of %s", ErrInvalidIdentity, k.org)
+	if len(c.URIs) != 1 || c.URIs[0].Scheme != "violetspan" || c.URIs[0].Host != k.installation {
+		return id, fmt.Errorf("%w: it names no member of %s", ErrInvalidIdentity, k.installation)
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(c.URIs[0].Path, "/member/"), 10, 64)
 	if err != nil || n == 0 {
 		return id, fmt.Errorf("%w: it names no member", ErrInvalidIdentity)
 	}
-	id.Installation, id.Member = k.org, n
+	id.Installation, id.Member = k.installation, n
 	if k.revoked[id.Serial] {
 		return id, fmt.Errorf("%w: serial %s of member %d", ErrRevoked, id.Serial, n)
 	}
 	return id, nil
 }
 
-// check is asked for each connection, after the library has verified the chain.
-func (k *Credentials) check(want uint64) func(tls.ConnectionState) error {
+// verifyPeer is asked for each connection, after the library has verified the chain.
+func (k *Credentials) verifyPeer(wantMember uint64) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
 			return fmt.Errorf("%w: none was shown", ErrInvalidIdentity)
@@ -346,8 +348,8 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		id, err := k.identify(s.PeerCertificates[0])
-		if err == nil && want != 0 && id.Member != want {
-			err = fmt.Errorf("%w: member %d answers in place of %d", ErrInvalidIdentity, id.Member, want)
+		if err == nil && wantMember != 0 && id.Member != wantMember {
+			err = fmt.Errorf("%w: member %d answers in place of %d", ErrInvalidIdentity, id.Member, wantMember)
 		}
 		return err
 	}
@@ -366,7 +368,7 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*k.pair}, ClientCAs: k.roots,
-			ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: k.check(0), SessionTicketsDisabled: true, Time: k.Now}, nil
+			ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: k.verifyPeer(0), SessionTicketsDisabled: true, Time: k.Now}, nil
 	}}
 }
 
@@ -375,7 +377,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*k.pair}, RootCAs: k.roots,
-		ServerName: memberName(member), VerifyConnection: k.check(member), Time: k.Now}
+		ServerName: memberName(member), VerifyConnection: k.verifyPeer(member), Time: k.Now}
 }
 
 // Revoke adds a serial number to those that a member refuses. A running one rereads
--- a/internal/cluster/pki_test.go
+++ b/internal/cluster/pki_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// party makes an authority and members 1 and 2 of it.
-func party(t *testing.T, installation string) (ca *CA, dirs [3]string) {
+// newInstallation makes an authority and members 1 and 2 of it.
+func newInstallation(t *testing.T, installation string) (ca *CA, dirs [3]string) {
 	t.Helper()
 	dir := t.TempDir()
 	ca, err := NewCA(dir, installation, time.Now())
@@ -34,7 +34,7 @@
 	return ca, dirs
 }
 
-func keys(t *testing.T, dir string) *Credentials {
+func openCredentials(t *testing.T, dir string) *Credentials {
 	t.Helper()
 	k, err := OpenCredentials(dir)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return k
 }
 
-// shake lets a client and a server shake hands and say a word each way.
-func shake(t *testing.T, server, client *tls.Config) error {
+// handshake lets a client and a server handshake hands and say a word each way.
+func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,53 +82,53 @@
 // Members of one installation trust each other as who they are, and nobody else; a
 // certificate is renewed and revoked under way.
 func TestIdentities(t *testing.T) {
-	ca, dirs := party(t, "tran")
-	one, two := keys(t, dirs[1]), keys(t, dirs[2])
+	ca, dirs := newInstallation(t, "tran")
+	one, two := openCredentials(t, dirs[1]), openCredentials(t, dirs[2])
 	if id, err := one.Identity(); err != nil || id.Member != 1 || id.Installation != "tran" || time.Until(id.NotAfter) < MemberValidity-time.Hour {
 		t.Error(id, err)
 	}
-	_, strange := party(t, "tran") // the same name, another authority
-	old := two.ClientConfig(1)
-	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
+	_, otherDirs := newInstallation(t, "tran") // the same name, another authority
+	tls12 := two.ClientConfig(1)
+	tls12.MinVersion, tls12.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
 	for name, c := range map[string]struct {
 		server, client *tls.Config
 		ok             bool
 	}{
 		"each other":            {one.ServerConfig(), two.ClientConfig(1), true},
 		"1 in place of 2":       {one.ServerConfig(), two.ClientConfig(2), false},
-		"a stranger calls":      {one.ServerConfig(), keys(t, strange[2]).ClientConfig(1), false},
-		"a stranger is called":  {keys(t, strange[1]).ServerConfig(), two.ClientConfig(1), false},
+		"a stranger calls":      {one.ServerConfig(), openCredentials(t, otherDirs[2]).ClientConfig(1), false},
+		"a stranger is called":  {openCredentials(t, otherDirs[1]).ServerConfig(), two.ClientConfig(1), false},
 		"none without":          {one.ServerConfig(), &tls.Config{InsecureSkipVerify: true}, false},
-		"an older TLS than 1.3": {one.ServerConfig(), old, false},
+		"an older TLS than 1.3": {one.ServerConfig(), tls12, false},
 	} {
-		if err := shake(t, c.server, c.client); (err == nil) != c.ok {
+		if err := handshake(t, c.server, c.client); (err == nil) != c.ok {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	// Renewed: the same configurations take the new pair once it is reread.
-	was, _ := two.Identity()
+	before, _ := two.Identity()
 	if err := ca.Issue(dirs[2], 2, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	if err := two.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	is, err := two.Identity()
-	if err != nil || is.Serial == was.Serial {
-		t.Fatal(is, err)
+	after, err := two.Identity()
+	if err != nil || after.Serial == before.Serial {
+		t.Fatal(after, err)
 	}
 	server := one.ServerConfig()
-	if err := shake(t, server, two.ClientConfig(1)); err != nil {
+	if err := handshake(t, server, two.ClientConfig(1)); err != nil {
 		t.Error(err)
 	}
 	// Revoked at member 1, by its serial number; a comment and an empty line are none.
-	if err := os.WriteFile(filepath.Join(dirs[1], FileRevoked), []byte("# lost\n\n"+strings.ToUpper(is.Serial)+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dirs[1], FileRevoked), []byte("# lost\n\n"+strings.ToUpper(after.Serial)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := one.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := shake(t, server, two.ClientConfig(1)); err == nil {
+	if err := handshake(t, server, two.ClientConfig(1)); err == nil {
 		t.Error("a revoked certificate was let in")
 	}
 	// Past its time.
@@ -140,8 +140,8 @@
 
 // Files that are wrong are refused, by name, and what was read before counts on.
 func TestKeyFiles(t *testing.T) {
-	ca, dirs := party(t, "tran")
-	one := keys(t, dirs[1])
+	ca, dirs := newInstallation(t, "tran")
+	one := openCredentials(t, dirs[1])
 	for _, name := range []string{filepath.Join(dirs[1], FileKey), filepath.Join(dirs[0], FileCAKey)} {
 		if st, err := os.Stat(name); err != nil || st.Mode().Perm() != modeSecret {
 			t.Errorf("%s: %v %v", name, st.Mode(), err)
@@ -155,7 +155,7 @@
 			t.Errorf("installation %q", bad)
 		}
 	}
-	for name, spoil := range map[string]func(dir string) error{
+	for name, damage := range map[string]func(dir string) error{
 		"mode":        func(dir string) error { return os.Chmod(filepath.Join(dir, FileKey), 0o644) },
 		"no PEM":      func(dir string) error { return os.WriteFile(filepath.Join(dir, FileCACert), []byte("rubbish"), 0o644) },
 		"gone":        func(dir string) error { return os.Remove(filepath.Join(dir, FileKey)) },
@@ -168,14 +168,14 @@
 		if err := errors.Join(ca.Issue(dirs[2], 2, time.Now()), ca.Issue(dir, 1, time.Now())); err != nil {
 			t.Fatal(err)
 		}
-		k := keys(t, dir)
-		if err := spoil(dir); err != nil {
+		k := openCredentials(t, dir)
+		if err := damage(dir); err != nil {
 			t.Fatal(err)
 		}
 		if err := k.Reload(); err == nil || !strings.Contains(err.Error(), dir) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err := shake(t, one.ServerConfig(), k.ClientConfig(1)); err != nil {
+		if err := handshake(t, one.ServerConfig(), k.ClientConfig(1)); err != nil {
 			t.Errorf("%s: what was read before does not count: %v", name, err)
 		}
 		if _, err := OpenCredentials(dir); err == nil {
--- a/internal/cluster/seeds_test.go
+++ b/internal/cluster/seeds_test.go
@@ -20,30 +20,30 @@
 var seedsFlag = flag.Int("seeds", 200, "seeds that TestSeeds plays")
 var seedFlag = flag.Uint64("seed", 0, "the one seed that TestSeeds plays, told step by step; 0: all")
 
-// memDisk is a disk of the simulation. A crash in the middle of a Save leaves all of it
+// memStorage is a disk of the simulation. A crash in the middle of a Save leaves all of it
 // or nothing, as a store with checksums does.
-type memDisk struct {
-	kept  StoredState
-	crash func() (before, after bool) // asked at each Save
+type memStorage struct {
+	stored StoredState
+	crash  func() (before, after bool) // asked at each Save
 }
 
 var errCrash = errors.New("crash")
 
-func (d *memDisk) Load() (*StoredState, error) {
+func (d *memStorage) Load() (*StoredState, error) {
 	k := &StoredState{}
-	if d.kept.HardState != nil {
-		k.HardState = proto.Clone(d.kept.HardState).(*pb.HardState)
+	if d.stored.HardState != nil {
+		k.HardState = proto.Clone(d.stored.HardState).(*pb.HardState)
 	}
-	if d.kept.Snapshot != nil {
-		k.Snapshot = proto.Clone(d.kept.Snapshot).(*pb.Snapshot)
+	if d.stored.Snapshot != nil {
+		k.Snapshot = proto.Clone(d.stored.Snapshot).(*pb.Snapshot)
 	}
-	for _, e := range d.kept.Entries {
+	for _, e := range d.stored.Entries {
 		k.Entries = append(k.Entries, proto.Clone(e).(*pb.Entry))
 	}
 	return k, nil
 }
 
-func (d *memDisk) Save(c *WriteBatch) error {
+func (d *memStorage) Save(c *WriteBatch) error {
 	before, after := false, false
 	if d.crash != nil {
 		before, after = d.crash()
@@ -52,18 +52,18 @@
 		return errCrash
 	}
 	if c.HardState != nil {
-		d.kept.HardState = proto.Clone(c.HardState).(*pb.HardState)
+		d.stored.HardState = proto.Clone(c.HardState).(*pb.HardState)
 	}
 	if c.Snapshot != nil {
-		d.kept.Snapshot = proto.Clone(c.Snapshot).(*pb.Snapshot)
+		d.stored.Snapshot = proto.Clone(c.Snapshot).(*pb.Snapshot)
 		at := c.Snapshot.GetMetadata().GetIndex()
-		d.kept.Entries = slices.DeleteFunc(d.kept.Entries, func(e *pb.Entry) bool { return c.Received || e.GetIndex() <= at })
+		d.stored.Entries = slices.DeleteFunc(d.stored.Entries, func(e *pb.Entry) bool { return c.Received || e.GetIndex() <= at })
 	}
 	if len(c.Entries) > 0 {
 		from := c.Entries[0].GetIndex()
-		d.kept.Entries = slices.DeleteFunc(d.kept.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= from })
+		d.stored.Entries = slices.DeleteFunc(d.stored.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= from })
 		for _, e := range c.Entries {
-			d.kept.Entries = append(d.kept.Entries, proto.Clone(e).(*pb.Entry))
+			d.stored.Entries = append(d.stored.Entries, proto.Clone(e).(*pb.Entry))
 		}
 	}
 	if after {
@@ -72,35 +72,35 @@
 	return nil
 }
 
-// node is one instance of the simulation.
-type node struct {
-	id     uint64
-	name   string
-	disk   *memDisk
-	m      *Member // nil: down
-	agent  *duty.Agent
-	life   uint64
-	skew   time.Duration // of its wall clock
-	paused int           // steps that it takes no part in
-	heard  map[string]time.Duration
-	joined bool
+// simNode is one instance of the simulation.
+type simNode struct {
+	id          uint64
+	name        string
+	disk        *memStorage
+	member      *Member // nil: down
+	agent       *duty.Agent
+	incarnation uint64
+	clockSkew   time.Duration // of its wall clock
+	pausedSteps int           // steps that it takes no part in
+	heartbeats  map[string]time.Duration
+	joined      bool
 }
 
-// parcel is something on its way.
-type parcel struct {
-	at   int
-	from int
-	to   int
-	msg  *pb.Message
-	beat time.Duration // not a message: the sender spoke to whom it takes for the leader
-	done *duty.Claim   // an effect on its way to the sink
-	life uint64
+// packet is something on its way.
+type packet struct {
+	deliverAt   int
+	from        int
+	to          int
+	msg         *pb.Message
+	heartbeat   time.Duration // not a message: the sender spoke to whom it takes for the leader
+	claim       *duty.Claim   // an effect on its way to the sink
+	incarnation uint64
 }
 
 const (
-	step     = 50 * time.Millisecond // of virtual time; one raft tick is two
-	simLease = time.Second
-	simSteps = 1200 // a minute
+	stepDuration = 50 * time.Millisecond // of virtual time; one raft tick is two
+	simLease     = time.Second
+	simSteps     = 1200 // a minute
 )
 
 var simDuty = duty.Config{Lease: simLease}
@@ -108,64 +108,64 @@
 // sim is raft, disk and duties together on a virtual clock. Its only source of chance
 // is the seed.
 type sim struct {
-	t       testing.TB
-	r       *rand.Rand
-	n       int
-	nodes   []*node
-	now     int
-	mail    []parcel
-	cut     map[[2]int]bool // links that lose all, one way
-	sink    *duty.Sink
-	effects map[string]int
-	trace   *xxhash.Digest
-	lead    map[uint64]uint64 // leader of each term
-	loud    bool
-	fault   string
-	calm    bool
-	agreed  map[uint64]string // the entry at each index, as first applied
+	t           testing.TB
+	random      *rand.Rand
+	size        int
+	nodes       []*simNode
+	step        int
+	inFlight    []packet
+	cutLinks    map[[2]int]bool // links that lose all, one way
+	sink        *duty.Sink
+	effects     map[string]int
+	trace       *xxhash.Digest
+	leaders     map[uint64]uint64 // leader of each term
+	verbose     bool
+	failure     string
+	faultFree   bool
+	stateHashes map[uint64]string // the entry at each index, as first applied
 
 }
 
-func (s *sim) say(format string, args ...any) {
+func (s *sim) tracef(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	_, _ = s.trace.WriteString(line) // a hash takes every write
-	if s.loud {
-		s.t.Logf("%v %s", time.Duration(s.now)*step, line)
+	if s.verbose {
+		s.t.Logf("%v %s", time.Duration(s.step)*stepDuration, line)
 	}
 }
 
 func (s *sim) failf(format string, args ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf("step %d: ", s.now) + fmt.Sprintf(format, args...)
+	if s.failure == "" {
+		s.failure = fmt.Sprintf("step %d: ", s.step) + fmt.Sprintf(format, args...)
 	}
 }
 
 func newSim(t testing.TB, seed uint64, n int, loud bool) *sim {
-	s := &sim{t: t, r: rand.New(rand.NewPCG(seed, 8)), n: n, cut: map[[2]int]bool{}, sink: duty.NewSink(), effects: map[string]int{},
-		trace: xxhash.New(), lead: map[uint64]uint64{}, loud: loud, agreed: map[uint64]string{}}
+	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 8)), size: n, cutLinks: map[[2]int]bool{}, sink: duty.NewSink(), effects: map[string]int{},
+		trace: xxhash.New(), leaders: map[uint64]uint64{}, verbose: loud, stateHashes: map[uint64]string{}}
 	for i := range n {
-		s.nodes = append(s.nodes, &node{id: uint64(i + 1), name: fmt.Sprint("n", i+1), disk: &memDisk{},
-			skew: time.Duration(s.r.Int64N(int64(2*time.Second))) - time.Second})
+		s.nodes = append(s.nodes, &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), disk: &memStorage{},
+			clockSkew: time.Duration(s.random.Int64N(int64(2*time.Second))) - time.Second})
 		s.nodes[i].disk.crash = func() (bool, bool) {
-			if s.calm || s.r.IntN(400) > 0 {
+			if s.faultFree || s.random.IntN(400) > 0 {
 				return false, false
 			}
-			b := s.r.IntN(2) == 0
+			b := s.random.IntN(2) == 0
 			return b, !b
 		}
-		s.up(i)
+		s.startNode(i)
 	}
 	return s
 }
 
-func (s *sim) up(i int) {
+func (s *sim) startNode(i int) {
 	n := s.nodes[i]
 	var founders []uint64
-	for k := range s.n {
+	for k := range s.size {
 		founders = append(founders, uint64(k+1))
 	}
 	m, err := OpenMember(Config{ID: n.id, Name: n.name, InitialMembers: founders, Duty: simDuty, Storage: n.disk,
-		Rand: rand.New(rand.NewPCG(s.r.Uint64(), n.id)), SnapshotEvery: 40})
+		Rand: rand.New(rand.NewPCG(s.random.Uint64(), n.id)), SnapshotEvery: 40})
 	if errors.Is(err, errCrash) {
 		return // it is tried again
 	}
@@ -173,168 +173,168 @@
 		s.failf("%s does not open: %v", n.name, err)
 		return
 	}
-	n.life++
-	n.m, n.agent, n.heard, n.joined = m, duty.NewAgent(n.name, simDuty, 4), map[string]time.Duration{}, false
-	s.say("%s up, life %d, applied %d", n.name, n.life, m.AppliedIndex())
+	n.incarnation++
+	n.member, n.agent, n.heartbeats, n.joined = m, duty.NewAgent(n.name, simDuty, 4), map[string]time.Duration{}, false
+	s.tracef("%s up, life %d, applied %d", n.name, n.incarnation, m.AppliedIndex())
 }
 
-func (s *sim) down(i int) {
-	s.say("%s down", s.nodes[i].name)
-	s.nodes[i].m = nil
+func (s *sim) stopNode(i int) {
+	s.tracef("%s down", s.nodes[i].name)
+	s.nodes[i].member = nil
 }
 
-func (s *sim) steady() time.Duration { return time.Duration(s.now) * step }
+func (s *sim) steadyTime() time.Duration { return time.Duration(s.step) * stepDuration }
 
-// post sends something, with delay, loss, copies and disorder.
-func (s *sim) post(p parcel) {
+// send sends something, with delay, loss, copies and disorder.
+func (s *sim) send(p packet) {
 	copies := 1
-	if !s.calm {
+	if !s.faultFree {
 		switch {
-		case p.done == nil && (s.cut[[2]int{p.from, p.to}] || s.r.IntN(50) == 0):
+		case p.claim == nil && (s.cutLinks[[2]int{p.from, p.to}] || s.random.IntN(50) == 0):
 			copies = 0
-		case s.r.IntN(50) == 0:
+		case s.random.IntN(50) == 0:
 			copies = 2
 		}
 	}
 	for range copies {
 		q := p
-		q.at = s.now + s.r.IntN(3)
-		if !s.calm && s.r.IntN(40) == 0 {
-			q.at += s.r.IntN(40)
+		q.deliverAt = s.step + s.random.IntN(3)
+		if !s.faultFree && s.random.IntN(40) == 0 {
+			q.deliverAt += s.random.IntN(40)
 		}
-		s.mail = append(s.mail, q)
+		s.inFlight = append(s.inFlight, q)
 	}
 }
 
 func (s *sim) deliver() {
-	var later, now []parcel
-	for _, p := range s.mail {
-		if p.at <= s.now && (p.done != nil || s.nodes[p.to].paused == 0) {
+	var later, now []packet
+	for _, p := range s.inFlight {
+		if p.deliverAt <= s.step && (p.claim != nil || s.nodes[p.to].pausedSteps == 0) {
 			now = append(now, p)
 		} else {
 			later = append(later, p)
 		}
 	}
-	s.mail = later
+	s.inFlight = later
 	for _, p := range now {
-		if p.done != nil {
-			s.effect(p)
+		if p.claim != nil {
+			s.runAtSink(p)
 			continue
 		}
 		n := s.nodes[p.to]
-		if n.m == nil {
+		if n.member == nil {
 			continue
 		}
 		if p.msg == nil {
-			n.heard[s.nodes[p.from].name] = max(n.heard[s.nodes[p.from].name], p.beat)
+			n.heartbeats[s.nodes[p.from].name] = max(n.heartbeats[s.nodes[p.from].name], p.heartbeat)
 			continue
 		}
-		if err := n.m.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrMemberFailed) {
+		if err := n.member.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrMemberFailed) {
 			s.failf("%s: %v", n.name, err)
 		}
 	}
 }
 
-// effect is a run's arrival at the sink, from an owner that may be paused or dead.
-func (s *sim) effect(p parcel) {
-	err := s.sink.Accept(*p.done)
-	s.say("sink: %+v: %v", *p.done, err)
+// runAtSink is a run's arrival at the sink, from an owner that may be paused or dead.
+func (s *sim) runAtSink(p packet) {
+	err := s.sink.Accept(*p.claim)
+	s.tracef("sink: %+v: %v", *p.claim, err)
 	if err == nil {
-		s.effects[fmt.Sprint(p.done.Duty, " ", p.done.Period)]++
+		s.effects[fmt.Sprint(p.claim.Duty, " ", p.claim.Period)]++
 	}
 	n := s.nodes[p.from]
-	if n.m == nil || n.life != p.life {
+	if n.member == nil || n.incarnation != p.incarnation {
 		return
 	}
-	if !s.calm && s.r.IntN(20) == 0 {
+	if !s.faultFree && s.random.IntN(20) == 0 {
 		return // its acknowledgement is lost: the run is stopped at its deadline
 	}
-	if n.agent.RunEnded(s.steady(), *p.done, err) {
-		_ = n.m.Propose(duty.Done{Claim: *p.done}) // if it is lost, it is proposed again
+	if n.agent.RunEnded(s.steadyTime(), *p.claim, err) {
+		_ = n.member.Propose(duty.Done{Claim: *p.claim}) // if it is lost, it is proposed again
 	}
 }
 
-// chaos is what goes wrong in a step.
-func (s *sim) chaos() {
-	if s.r.IntN(60) == 0 {
-		i := s.r.IntN(s.n)
+// injectFaults is what goes wrong in a step.
+func (s *sim) injectFaults() {
+	if s.random.IntN(60) == 0 {
+		i := s.random.IntN(s.size)
 		switch n := s.nodes[i]; {
-		case n.m == nil:
-			s.up(i)
-		case s.r.IntN(2) == 0:
-			s.down(i)
+		case n.member == nil:
+			s.startNode(i)
+		case s.random.IntN(2) == 0:
+			s.stopNode(i)
 		default:
-			n.paused = 1 + s.r.IntN(60)
-			s.say("%s pauses for %d", n.name, n.paused)
+			n.pausedSteps = 1 + s.random.IntN(60)
+			s.tracef("%s pauses for %d", n.name, n.pausedSteps)
 		}
 	}
-	if s.r.IntN(80) == 0 {
-		k := [2]int{s.r.IntN(s.n), s.r.IntN(s.n)}
-		s.cut[k] = !s.cut[k]
-		s.say("link %v cut %v", k, s.cut[k])
+	if s.random.IntN(80) == 0 {
+		k := [2]int{s.random.IntN(s.size), s.random.IntN(s.size)}
+		s.cutLinks[k] = !s.cutLinks[k]
+		s.tracef("link %v cut %v", k, s.cutLinks[k])
 	}
-	if s.r.IntN(150) == 0 {
-		clear(s.cut)
+	if s.random.IntN(150) == 0 {
+		clear(s.cutLinks)
 	}
-	if s.r.IntN(200) == 0 {
-		n := s.nodes[s.r.IntN(s.n)]
-		n.skew += time.Duration(s.r.Int64N(int64(20*time.Second))) - 10*time.Second
-		s.say("%s's clock is off by %v", n.name, n.skew)
+	if s.random.IntN(200) == 0 {
+		n := s.nodes[s.random.IntN(s.size)]
+		n.clockSkew += time.Duration(s.random.Int64N(int64(20*time.Second))) - 10*time.Second
+		s.tracef("%s's clock is off by %v", n.name, n.clockSkew)
 	}
 }
 
-func (s *sim) turn(i int) {
+func (s *sim) stepNode(i int) {
 	n := s.nodes[i]
-	if n.m == nil {
+	if n.member == nil {
 		return
 	}
-	if n.paused > 0 {
-		n.paused--
+	if n.pausedSteps > 0 {
+		n.pausedSteps--
 		return
 	}
-	if s.now%2 == 0 {
-		n.m.Tick()
+	if s.step%2 == 0 {
+		n.member.Tick()
 	}
-	lead, term := n.m.Leader()
-	if n.m.IsLeader() {
-		if was := s.lead[term]; was != 0 && was != n.id {
+	leader, term := n.member.Leader()
+	if n.member.IsLeader() {
+		if was := s.leaders[term]; was != 0 && was != n.id {
 			s.failf("term %d has leaders %d and %d", term, was, n.id)
 		}
-		s.lead[term] = n.id
-		if s.now%6 == 0 { // the duties' clock
-			n.heard[n.name] = s.steady()
-			t := duty.Tick{Now: 1000*time.Second + s.steady() + n.skew}
+		s.leaders[term] = n.id
+		if s.step%6 == 0 { // the duties' clock
+			n.heartbeats[n.name] = s.steadyTime()
+			t := duty.Tick{Now: 1000*time.Second + s.steadyTime() + n.clockSkew}
 			for _, o := range s.nodes {
-				if at, ok := n.heard[o.name]; ok {
+				if at, ok := n.heartbeats[o.name]; ok {
 					t.Heard, t.At = append(t.Heard, o.name), append(t.At, at)
 				}
 			}
-			clear(n.heard)
-			_ = n.m.Propose(t) // refused while too much waits
+			clear(n.heartbeats)
+			_ = n.member.Propose(t) // refused while too much waits
 		}
-	} else if lead > 0 && s.now%4 == 0 {
-		s.post(parcel{from: i, to: int(lead - 1), beat: s.steady()})
+	} else if leader > 0 && s.step%4 == 0 {
+		s.send(packet{from: i, to: int(leader - 1), heartbeat: s.steadyTime()})
 	}
-	if !n.joined && lead > 0 && s.now%10 == 0 {
-		_ = n.m.Propose(duty.Join{Member: n.name, Incarnation: n.life})
+	if !n.joined && leader > 0 && s.step%10 == 0 {
+		_ = n.member.Propose(duty.Join{Member: n.name, Incarnation: n.incarnation})
 		for d := range 3 {
-			if len(n.m.State().Duties()) < 3 {
-				_ = n.m.Propose(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", d), Period: time.Duration(1+d) * 2 * time.Second, Deadline: time.Second,
+			if len(n.member.State().Duties()) < 3 {
+				_ = n.member.Propose(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", d), Period: time.Duration(1+d) * 2 * time.Second, Deadline: time.Second,
 					MakeUp: true, MostMissed: 1 << 20}})
 			}
 		}
 	}
-	out, err := n.m.ProcessReady()
+	out, err := n.member.ProcessReady()
 	if err != nil {
 		if !errors.Is(err, errCrash) {
 			s.failf("%s: %v", n.name, err)
 		}
-		s.down(i)
+		s.stopNode(i)
 		return
 	}
 	for _, msg := range out.Messages {
 		to := int(msg.GetTo() - 1)
-		s.post(parcel{from: i, to: to, msg: msg})
+		s.send(packet{from: i, to: to, msg: msg})
 	}
 	for _, e := range out.Applied {
 		switch e := e.(type) {
@@ -343,61 +343,61 @@
 				n.agent.RenewLease(e.At[k])
 			}
 		case duty.Join:
-			n.joined = n.joined || e.Member == n.name && e.Incarnation == n.life
+			n.joined = n.joined || e.Member == n.name && e.Incarnation == n.incarnation
 		}
 	}
 	if len(out.Applied) > 0 {
-		b, err := n.m.State().Save()
+		b, err := n.member.State().Save()
 		if err != nil {
 			s.failf("%v", err)
 		}
 		sum := fmt.Sprintf("%x", xxhash.Sum64(b))
-		if was, ok := s.agreed[n.m.AppliedIndex()]; ok && was != sum {
-			s.failf("%s holds another state at %d", n.name, n.m.AppliedIndex())
+		if was, ok := s.stateHashes[n.member.AppliedIndex()]; ok && was != sum {
+			s.failf("%s holds another state at %d", n.name, n.member.AppliedIndex())
 		}
-		s.agreed[n.m.AppliedIndex()] = sum
+		s.stateHashes[n.member.AppliedIndex()] = sum
 	}
-	state := n.m.State()
-	stop, _ := n.agent.Stop(s.steady(), state)
+	state := n.member.State()
+	stop, _ := n.agent.Stop(s.steadyTime(), state)
 	for _, c := range stop {
-		n.agent.RunEnded(s.steady(), c, errors.New("stopped"))
+		n.agent.RunEnded(s.steadyTime(), c, errors.New("stopped"))
 	}
-	for _, c := range n.agent.Repropose(s.steady(), state) {
-		s.say("%s proposes again that %+v is done", n.name, c)
-		_ = n.m.Propose(duty.Done{Claim: c})
+	for _, c := range n.agent.Repropose(s.steadyTime(), state) {
+		s.tracef("%s proposes again that %+v is done", n.name, c)
+		_ = n.member.Propose(duty.Done{Claim: c})
 	}
 	if !n.joined {
 		return // what the state says is of an earlier life
 	}
-	for _, c := range n.agent.Start(s.steady(), state) {
-		s.say("%s starts %+v", n.name, c)
-		p := parcel{from: i, to: i, done: &c, life: n.life}
-		s.post(p)
+	for _, c := range n.agent.Start(s.steadyTime(), state) {
+		s.tracef("%s starts %+v", n.name, c)
+		p := packet{from: i, to: i, claim: &c, incarnation: n.incarnation}
+		s.send(p)
 	}
 }
 
-// play runs a seed and returns the trace's hash, and what went wrong.
-func play(t testing.TB, seed uint64, loud bool) (hash uint64, fault string, effects int) {
+// runSeed runs a seed and returns the trace's hash, and what went wrong.
+func runSeed(t testing.TB, seed uint64, loud bool) (hash uint64, fault string, effects int) {
 	n := 3 + 2*int(seed%3)
 	s := newSim(t, seed, n, loud)
-	for s.now = 1; s.now <= simSteps && s.fault == ""; s.now++ {
-		s.calm = s.now > simSteps*2/3 // in the end the weather is fair, and all must come to rest
-		if s.calm {
-			clear(s.cut)
+	for s.step = 1; s.step <= simSteps && s.failure == ""; s.step++ {
+		s.faultFree = s.step > simSteps*2/3 // in the end the weather is fair, and all must come to rest
+		if s.faultFree {
+			clear(s.cutLinks)
 			for i, x := range s.nodes {
-				if x.m == nil {
-					s.up(i)
+				if x.member == nil {
+					s.startNode(i)
 				}
 			}
 		} else {
-			s.chaos()
+			s.injectFaults()
 		}
 		s.deliver()
-		for _, i := range s.r.Perm(n) {
-			s.turn(i)
+		for _, i := range s.random.Perm(n) {
+			s.stepNode(i)
 		}
 		var b [8]byte
-		binary.LittleEndian.PutUint64(b[:], uint64(len(s.mail)))
+		binary.LittleEndian.PutUint64(b[:], uint64(len(s.inFlight)))
 		_, _ = s.trace.Write(b[:])
 	}
 	for k, c := range s.effects {
@@ -405,22 +405,22 @@
 			s.failf("%s done %d times", k, c)
 		}
 	}
-	s.rest()
-	return s.trace.Sum64(), s.fault, len(s.effects)
+	s.checkFinalState()
+	return s.trace.Sum64(), s.failure, len(s.effects)
 }
 
-// rest checks the end: one leader, equal states, and every period done but the last.
-func (s *sim) rest() {
+// checkFinalState checks the end: one leader, equal states, and every period done but the last.
+func (s *sim) checkFinalState() {
 	leaders := 0
 	var state *duty.State
 	for _, n := range s.nodes {
-		if n.m == nil {
+		if n.member == nil {
 			s.failf("%s is down at the end", n.name)
 			return
 		}
-		if n.m.IsLeader() {
+		if n.member.IsLeader() {
 			leaders++
-			state = n.m.State()
+			state = n.member.State()
 		}
 	}
 	if leaders != 1 {
@@ -456,7 +456,7 @@
 // equal states at equal places of the log; and a seed decides all of it.
 func TestSeeds(t *testing.T) {
 	if *seedFlag > 0 {
-		hash, fault, n := play(t, *seedFlag, true)
+		hash, fault, n := runSeed(t, *seedFlag, true)
 		t.Logf("seed %d: trace %016x, %d effects %s", *seedFlag, hash, n, fault)
 		if fault != "" {
 			t.Fail()
@@ -465,13 +465,13 @@
 	}
 	total := 0
 	for seed := uint64(1); seed <= uint64(*seedsFlag); seed++ {
-		hash, fault, n := play(t, seed, false)
+		hash, fault, n := runSeed(t, seed, false)
 		total += n
 		if fault != "" {
 			t.Errorf("seed %d (trace %016x): %s", seed, hash, fault)
 		}
 		if seed%25 == 0 {
-			if again, _, _ := play(t, seed, false); again != hash {
+			if again, _, _ := runSeed(t, seed, false); again != hash {
 				t.Errorf("seed %d: trace %016x, then %016x", seed, hash, again)
 			}
 		}
--- a/internal/cluster/single_test.go
+++ b/internal/cluster/single_test.go
@@ -16,9 +16,9 @@
 func TestBadDuties(t *testing.T) {
 	var mu sync.Mutex
 	count := map[string]int{}
-	never := make(chan struct{})
-	defer close(never)
-	_, dirs := party(t, "tran")
+	hangForever := make(chan struct{})
+	defer close(hangForever)
+	_, dirs := newInstallation(t, "tran")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,8 +27,8 @@
 	for _, n := range []string{"panics", "hangs", "fails", "well"} {
 		duties = append(duties, duty.Spec{Name: n, Period: 200 * time.Millisecond, Deadline: 50 * time.Millisecond})
 	}
-	h, err := NewHost(HostConfig{ID: 1, Name: "one", Credentials: keys(t, dirs[1]), Listener: ln, Peers: []Peer{{ID: 1, Name: "one"}}, Bootstrap: true,
-		Storage: &memDisk{}, Duties: duties, MaxConcurrentRuns: 3, Lease: 200 * time.Millisecond, Run: func(ctx context.Context, c duty.Claim) error {
+	h, err := NewHost(HostConfig{ID: 1, Name: "one", Credentials: openCredentials(t, dirs[1]), Listener: ln, Peers: []Peer{{ID: 1, Name: "one"}}, Bootstrap: true,
+		Storage: &memStorage{}, Duties: duties, MaxConcurrentRuns: 3, Lease: 200 * time.Millisecond, Run: func(ctx context.Context, c duty.Claim) error {
 			mu.Lock()
 			count[c.Duty]++
 			mu.Unlock()
@@ -36,7 +36,7 @@
 			case "panics":
 				panic("on purpose")
 			case "hangs":
-				<-never
+				<-hangForever
 			case "fails":
 				return errors.New("on purpose")
 			}
@@ -48,10 +48,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- h.Run(ctx) }()
-	wait, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	waitCtx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	for {
-		s, err := h.Status(wait)
+		s, err := h.Status(waitCtx)
 		if err != nil {
 			mu.Lock()
 			t.Fatalf("%v: %v", err, count)
@@ -64,9 +64,9 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	from := time.Now()
+	stoppedAt := time.Now()
 	stop()
-	if err := <-done; err != nil || time.Since(from) > 2*exitWait {
-		t.Error(err, time.Since(from))
+	if err := <-done; err != nil || time.Since(stoppedAt) > 2*shutdownTimeout {
+		t.Error(err, time.Since(stoppedAt))
 	}
 }
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -36,26 +36,26 @@
 	bucketEntries = []byte("entries")
 	keyFormat     = []byte("format")
 	keyMember     = []byte("member")
-	keyHard       = []byte("hard")
+	keyHardState  = []byte("hard")
 	keySnapshot   = []byte("snapshot")
-	keyLast       = []byte("last")
+	keyLastIndex  = []byte("last")
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
 const (
-	storeFormat = 1
-	lockWait    = time.Second
+	formatVersion = 1
+	lockTimeout   = time.Second
 )
 
 // OpenStore opens or makes the store of a member. The file's mode is 0600.
 func OpenStore(path string, member uint64) (s *Store, err error) {
 	s = &Store{path: path}
-	defer s.guard(&err)
+	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // what points beyond the file's map
-	if err := roots(path); err != nil {
+	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
-	if s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistMapType}); err != nil {
+	if s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType}); err != nil {
 		switch {
 		case errors.Is(err, bbolt.ErrTimeout):
 			return nil, fmt.Errorf("cluster: %s: another process holds it", path)
@@ -73,13 +73,13 @@
 			if _, err := tx.CreateBucket(bucketEntries); err != nil {
 				return err
 			}
-			return errors.Join(meta.Put(keyFormat, seal(number(storeFormat))), meta.Put(keyMember, seal(number(member))))
+			return errors.Join(meta.Put(keyFormat, addChecksum(encodeUint64(formatVersion))), meta.Put(keyMember, addChecksum(encodeUint64(member))))
 		}
 		for _, n := range []struct {
 			key  []byte
 			want uint64
-		}{{keyFormat, storeFormat}, {keyMember, member}} {
-			v, err := s.open(meta.Get(n.key), "meta "+string(n.key))
+		}{{keyFormat, formatVersion}, {keyMember, member}} {
+			v, err := s.verifyChecksum(meta.Get(n.key), "meta "+string(n.key))
 			if err != nil {
 				return err
 			}
@@ -96,11 +96,11 @@
 	return s, nil
 }
 
-// roots checks both root pages of a file that is there. bbolt would fall back on the
+// checkMetaPages checks both root pages of a file that is there. bbolt would fall back on the
 // older root if the newer one is spoilt, and so forget what was acknowledged last: a
 // vote, or an entry that counted for a majority. A root is 64 bytes, which disks write
 // whole; one that does not hold was spoilt, and is an error here.
-func roots(path string) error {
+func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -108,33 +108,33 @@
 		return fmt.Errorf("cluster: %w", err)
 	}
 	defer f.Close()
-	const header, size, magic = 16, 64, 0xED0CDAED
+	const pageHeaderBytes, metaBytes, magic = 16, 64, 0xED0CDAED
 	for i := range 2 {
-		b := make([]byte, header+size)
+		b := make([]byte, pageHeaderBytes+metaBytes)
 		if _, err := f.ReadAt(b, int64(i*os.Getpagesize())); err != nil {
 			return fmt.Errorf("%w: %s: root %d: %w", ErrCorrupt, path, i, err)
 		}
-		m := b[header:]
+		m := b[pageHeaderBytes:]
 		h := fnv.New64a()
-		_, _ = h.Write(m[:size-8]) // a hash takes every write
-		if binary.NativeEndian.Uint32(m) != magic || binary.NativeEndian.Uint64(m[size-8:]) != h.Sum64() {
+		_, _ = h.Write(m[:metaBytes-8]) // a hash takes every write
+		if binary.NativeEndian.Uint32(m) != magic || binary.NativeEndian.Uint64(m[metaBytes-8:]) != h.Sum64() {
 			return fmt.Errorf("%w: %s: root %d has a wrong checksum", ErrCorrupt, path, i)
 		}
 	}
 	return nil
 }
 
-// guard turns a panic over a page that can't be into an error.
-func (s *Store) guard(err *error) {
+// recoverPanic turns a panic over a page that can't be into an error.
+func (s *Store) recoverPanic(err *error) {
 	if x := recover(); x != nil {
 		*err = fmt.Errorf("%w: %s: %v", ErrCorrupt, s.path, x)
 	}
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// seal adds a value's length and checksum in front of it.
-func seal(v []byte) []byte {
+// addChecksum adds a value's length and checksum in front of it.
+func addChecksum(v []byte) []byte {
 	b := make([]byte, 8, 8+len(v))
 	binary.BigEndian.PutUint32(b, uint32(len(v)))
 	b = append(b, v...)
@@ -142,21 +142,21 @@
 	return b
 }
 
-// open takes a sealed value apart; what names it for an error.
-func (s *Store) open(b []byte, what string) ([]byte, error) {
+// verifyChecksum takes a sealed value apart; what names it for an error.
+func (s *Store) verifyChecksum(b []byte, label string) ([]byte, error) {
 	if len(b) < 8 || int(binary.BigEndian.Uint32(b)) != len(b)-8 {
-		return nil, fmt.Errorf("%w: %s: %s has a wrong length", ErrCorrupt, s.path, what)
+		return nil, fmt.Errorf("%w: %s: %s has a wrong length", ErrCorrupt, s.path, label)
 	}
 	v := b[8:]
 	if binary.BigEndian.Uint32(b[4:]) != crc32.Checksum(v, castagnoli)^uint32(len(v)) {
-		return nil, fmt.Errorf("%w: %s: %s has a wrong checksum", ErrCorrupt, s.path, what)
+		return nil, fmt.Errorf("%w: %s: %s has a wrong checksum", ErrCorrupt, s.path, label)
 	}
 	return v, nil
 }
 
 // Load reads all that the store holds, and checks that the log has no gap.
 func (s *Store) Load() (k *StoredState, err error) {
-	defer s.guard(&err)
+	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file cut short under its map
 	k = &StoredState{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -164,42 +164,42 @@
 		if meta == nil || entries == nil {
 			return fmt.Errorf("%w: %s: a part is missing", ErrCorrupt, s.path)
 		}
-		if b := meta.Get(keyHard); b != nil {
+		if b := meta.Get(keyHardState); b != nil {
 			k.HardState = &pb.HardState{}
-			if err := s.read(b, "the hard state", k.HardState); err != nil {
+			if err := s.readMessage(b, "the hard state", k.HardState); err != nil {
 				return err
 			}
 		}
 		if b := meta.Get(keySnapshot); b != nil {
 			k.Snapshot = &pb.Snapshot{}
-			if err := s.read(b, "the snapshot", k.Snapshot); err != nil {
+			if err := s.readMessage(b, "the snapshot", k.Snapshot); err != nil {
 				return err
 			}
 		}
-		last := uint64(0)
-		if b := meta.Get(keyLast); b != nil {
-			v, err := s.open(b, "the last entry's number")
+		lastIndex := uint64(0)
+		if b := meta.Get(keyLastIndex); b != nil {
+			v, err := s.verifyChecksum(b, "the last entry's number")
 			if err != nil {
 				return err
 			}
-			last = binary.BigEndian.Uint64(v)
+			lastIndex = binary.BigEndian.Uint64(v)
 		}
-		next := k.Snapshot.GetMetadata().GetIndex() + 1
+		nextIndex := k.Snapshot.GetMetadata().GetIndex() + 1
 		err := entries.ForEach(func(key, b []byte) error {
 			e := &pb.Entry{}
-			what := fmt.Sprintf("entry %x", key)
-			if err := s.read(b, what, e); err != nil {
+			label := fmt.Sprintf("entry %x", key)
+			if err := s.readMessage(b, label, e); err != nil {
 				return err
 			}
-			if len(key) != 8 || binary.BigEndian.Uint64(key) != e.GetIndex() || e.GetIndex() != next {
-				return fmt.Errorf("%w: %s: %s is out of place, %d is wanted", ErrCorrupt, s.path, what, next)
+			if len(key) != 8 || binary.BigEndian.Uint64(key) != e.GetIndex() || e.GetIndex() != nextIndex {
+				return fmt.Errorf("%w: %s: %s is out of place, %d is wanted", ErrCorrupt, s.path, label, nextIndex)
 			}
-			next++
+			nextIndex++
 			k.Entries = append(k.Entries, e)
 			return nil
 		})
-		if err == nil && next-1 != max(last, k.Snapshot.GetMetadata().GetIndex()) {
-			err = fmt.Errorf("%w: %s: the log ends at %d, not at %d", ErrCorrupt, s.path, next-1, last)
+		if err == nil && nextIndex-1 != max(lastIndex, k.Snapshot.GetMetadata().GetIndex()) {
+			err = fmt.Errorf("%w: %s: the log ends at %d, not at %d", ErrCorrupt, s.path, nextIndex-1, lastIndex)
 		}
 		return err
 	})
@@ -209,62 +209,62 @@
 	return k, nil
 }
 
-func (s *Store) read(b []byte, what string, to proto.Message) error {
-	v, err := s.open(b, what)
+func (s *Store) readMessage(b []byte, label string, into proto.Message) error {
+	v, err := s.verifyChecksum(b, label)
 	if err != nil {
 		return err
 	}
-	if err := proto.Unmarshal(v, to); err != nil {
-		return fmt.Errorf("%w: %s: %s: %w", ErrCorrupt, s.path, what, err)
+	if err := proto.Unmarshal(v, into); err != nil {
+		return fmt.Errorf("%w: %s: %s: %w", ErrCorrupt, s.path, label, err)
 	}
 	return nil
 }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	v, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, seal(v))
+	return b.Put(key, addChecksum(v))
 }
 
 // Save writes a change, all or nothing.
 func (s *Store) Save(c *WriteBatch) (err error) {
-	defer s.guard(&err)
+	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if c.HardState != nil {
-			if err := put(meta, keyHard, c.HardState); err != nil {
+			if err := putMessage(meta, keyHardState, c.HardState); err != nil {
 				return err
 			}
 		}
 		if c.Snapshot != nil {
-			if err := put(meta, keySnapshot, c.Snapshot); err != nil {
+			if err := putMessage(meta, keySnapshot, c.Snapshot); err != nil {
 				return err
 			}
-			at := c.Snapshot.GetMetadata().GetIndex()
-			if err := cut(entries, 0, func(i uint64) bool { return c.Received || i <= at }); err != nil {
+			snapshotIndex := c.Snapshot.GetMetadata().GetIndex()
+			if err := deleteEntries(entries, 0, func(i uint64) bool { return c.Received || i <= snapshotIndex }); err != nil {
 				return err
 			}
 		}
 		if len(c.Entries) > 0 {
-			if err := cut(entries, c.Entries[0].GetIndex(), func(uint64) bool { return true }); err != nil {
+			if err := deleteEntries(entries, c.Entries[0].GetIndex(), func(uint64) bool { return true }); err != nil {
 				return err
 			}
 		}
 		entries.FillPercent = 0.9 // they come in order
 		for _, e := range c.Entries {
-			if err := put(entries, number(e.GetIndex()), e); err != nil {
+			if err := putMessage(entries, encodeUint64(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
 		// Kept apart from the entries: a spoilt branch of their tree may hide some.
 		switch {
 		case len(c.Entries) > 0:
-			return meta.Put(keyLast, seal(number(c.Entries[len(c.Entries)-1].GetIndex())))
+			return meta.Put(keyLastIndex, addChecksum(encodeUint64(c.Entries[len(c.Entries)-1].GetIndex())))
 		case c.Received:
-			return meta.Put(keyLast, seal(number(c.Snapshot.GetMetadata().GetIndex())))
+			return meta.Put(keyLastIndex, addChecksum(encodeUint64(c.Snapshot.GetMetadata().GetIndex())))
 		}
 		return nil
 	})
@@ -274,11 +274,11 @@
 	return err
 }
 
-// cut deletes entries from an index on, as long as they are wanted gone.
-func cut(b *bbolt.Bucket, from uint64, gone func(i uint64) bool) error {
+// deleteEntries deletes entries from an index on, as long as they are wanted gone.
+func deleteEntries(b *bbolt.Bucket, from uint64, matches func(i uint64) bool) error {
 	var keys [][]byte
 	cur := b.Cursor()
-	for k, _ := cur.Seek(number(from)); k != nil && len(k) == 8 && gone(binary.BigEndian.Uint64(k)); k, _ = cur.Next() {
+	for k, _ := cur.Seek(encodeUint64(from)); k != nil && len(k) == 8 && matches(binary.BigEndian.Uint64(k)); k, _ = cur.Next() {
 		keys = append(keys, append([]byte(nil), k...))
 	}
 	for _, k := range keys {
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -18,17 +18,17 @@
 	return &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(index), Data: []byte(data)}
 }
 
-func hard(term, commit uint64) *pb.HardState {
+func hardState(term, commit uint64) *pb.HardState {
 	return &pb.HardState{Term: proto.Uint64(term), Commit: proto.Uint64(commit), Vote: proto.Uint64(1)}
 }
 
-func snap(index uint64, data string) *pb.Snapshot {
+func snapshot(index uint64, data string) *pb.Snapshot {
 	return &pb.Snapshot{Data: []byte(data), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(1),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-// text is what a store holds, to compare.
-func text(k *StoredState) string {
+// describe is what a store holds, to compare.
+func describe(k *StoredState) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %d %d %q", k.HardState.GetTerm(), k.HardState.GetCommit(), k.Snapshot.GetMetadata().GetIndex(), k.Snapshot.GetData())
 	for _, e := range k.Entries {
@@ -37,7 +37,7 @@
 	return b.String()
 }
 
-func load(t testing.TB, path string) (string, error) {
+func loadStore(t testing.TB, path string) (string, error) {
 	t.Helper()
 	s, err := OpenStore(path, 1)
 	if err != nil {
@@ -48,11 +48,11 @@
 	if err != nil {
 		return "", err
 	}
-	return text(k), nil
+	return describe(k), nil
 }
 
 // The store does as the simulation's disk does, whatever is saved, also over reopenings.
-func TestStoreIsTheDisk(t *testing.T) {
+func TestStoreMatchesMemStorage(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 4))
 		path := filepath.Join(t.TempDir(), "store")
@@ -60,23 +60,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		model := &memDisk{}
+		model := &memStorage{}
 		last, base := uint64(0), uint64(0)
 		for range 60 {
 			c := &WriteBatch{}
 			if r.IntN(2) == 0 {
-				c.HardState = hard(r.Uint64N(9), last)
+				c.HardState = hardState(r.Uint64N(9), last)
 			}
 			switch r.IntN(8) {
 			case 0:
 				if last > base {
 					base += 1 + r.Uint64N(last-base)
-					c.Snapshot = snap(base, fmt.Sprint("state ", base))
+					c.Snapshot = snapshot(base, fmt.Sprint("state ", base))
 				}
 			case 1:
 				base = last + r.Uint64N(5)
 				last = base
-				c.Snapshot, c.Received = snap(base, "foreign"), true
+				c.Snapshot, c.Received = snapshot(base, "foreign"), true
 			default:
 				from := base + 1 + r.Uint64N(last-base+1)
 				for i := range 1 + r.Uint64N(6) {
@@ -97,16 +97,16 @@
 			}
 			k, err := s.Load()
 			want, _ := model.Load()
-			if err != nil || text(k) != text(want) {
-				t.Fatalf("seed %d: %v\n%s\n%s", seed, err, text(k), text(want))
+			if err != nil || describe(k) != describe(want) {
+				t.Fatalf("seed %d: %v\n%s\n%s", seed, err, describe(k), describe(want))
 			}
 		}
 		s.Close()
 	}
 }
 
-// written makes a store and returns its bytes before and after its last change.
-func written(t testing.TB) (before, after []byte, was, is string) {
+// writeStore makes a store and returns its bytes before and after its last change.
+func writeStore(t testing.TB) (before, after []byte, wantBefore, wantAfter string) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, err := OpenStore(path, 1)
 	if err != nil {
@@ -124,37 +124,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b, text(k)
+		return b, describe(k)
 	}
-	save(&WriteBatch{HardState: hard(1, 1), Snapshot: snap(1, strings.Repeat("state", 100))})
+	save(&WriteBatch{HardState: hardState(1, 1), Snapshot: snapshot(1, strings.Repeat("state", 100))})
 	for i := range uint64(40) {
-		before, was = save(&WriteBatch{HardState: hard(2, i+1), Entries: []*pb.Entry{entry(2, i+2, fmt.Sprintf("entry %d %s", i, strings.Repeat("y", 200)))}})
+		before, wantBefore = save(&WriteBatch{HardState: hardState(2, i+1), Entries: []*pb.Entry{entry(2, i+2, fmt.Sprintf("entry %d %s", i, strings.Repeat("y", 200)))}})
 	}
-	after, is = save(&WriteBatch{HardState: hard(3, 30), Entries: []*pb.Entry{entry(3, 30, "another"), entry(3, 31, "and one")}})
+	after, wantAfter = save(&WriteBatch{HardState: hardState(3, 30), Entries: []*pb.Entry{entry(3, 30, "another"), entry(3, 31, "and one")}})
 	s.Close()
-	return before, after, was, is
+	return before, after, wantBefore, wantAfter
 }
 
 // Any one flipped bit, and any file cut short, is found, or does no harm: what is loaded
 // is what was saved, or there is an error that names the file.
 func TestFlippedBits(t *testing.T) {
-	_, after, _, is := written(t)
+	_, after, _, want := writeStore(t)
 	dir, n := t.TempDir(), 0
 	r := rand.New(rand.NewPCG(1, 1))
 	found, harmless := 0, 0
-	try := func(b []byte, what string) {
+	loadDamaged := func(b []byte, what string) {
 		n++ // a file of its own: a spoilt one may stay locked
 		path := filepath.Join(dir, fmt.Sprint(n))
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, err := load(t, path)
+		got, err := loadStore(t, path)
 		switch {
 		case err != nil && (!strings.Contains(err.Error(), path) || !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStoreMismatch)):
 			t.Fatalf("%s: not an error of this file: %v", what, err)
 		case err != nil:
 			found++
-		case got == is:
+		case got == want:
 			harmless++
 		default:
 			t.Fatalf("%s: loaded %.200s", what, got)
@@ -164,10 +164,10 @@
 		b := bytes.Clone(after)
 		i := r.IntN(len(b))
 		b[i] ^= 1 << r.IntN(8)
-		try(b, fmt.Sprintf("byte %d", i))
+		loadDamaged(b, fmt.Sprintf("byte %d", i))
 	}
 	for size := 0; size < len(after); size += 1777 {
-		try(after[:size], fmt.Sprintf("%d bytes", size))
+		loadDamaged(after[:size], fmt.Sprintf("%d bytes", size))
 	}
 	if found == 0 || harmless == 0 {
 		t.Error(found, harmless)
@@ -179,7 +179,7 @@
 // in any order, without the root that makes them count. A root that is half written,
 // which disks don't do, is refused, since a spoilt one looks alike.
 func TestTornWrite(t *testing.T) {
-	before, after, was, is := written(t)
+	before, after, wantBefore, wantAfter := writeStore(t)
 	const page = 4096
 	path := filepath.Join(t.TempDir(), "torn")
 	r := rand.New(rand.NewPCG(2, 2))
@@ -193,7 +193,7 @@
 				copy(b[p*page:(p+1)*page], after[p*page:(p+1)*page])
 			}
 		}
-		want, half := was, false
+		want, partialMetaPage := wantBefore, false
 		if r.IntN(2) == 0 { // all pages, and a part of a root
 			copy(b[2*page:], after[2*page:])
 			for p := range 2 {
@@ -202,9 +202,9 @@
 					copy(b[p*page:p*page+n], after[p*page:])
 					switch {
 					case bytes.Equal(b[p*page:(p+1)*page], after[p*page:(p+1)*page]):
-						want = is
+						want = wantAfter
 					case !bytes.Equal(b[p*page:(p+1)*page], before[p*page:(p+1)*page]):
-						half = true
+						partialMetaPage = true
 					}
 				}
 			}
@@ -212,7 +212,7 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := load(t, path); half && errors.Is(err, ErrCorrupt) {
+		if got, err := loadStore(t, path); partialMetaPage && errors.Is(err, ErrCorrupt) {
 			continue
 		} else if err != nil || got != want {
 			t.Fatalf("%v\n%.200s\n%.200s", err, got, want)
@@ -242,7 +242,7 @@
 }
 
 func FuzzStore(f *testing.F) {
-	_, after, _, _ := written(f)
+	_, after, _, _ := writeStore(f)
 	f.Add(uint32(0), []byte{1})
 	f.Add(uint32(4096), []byte("rubbish"))
 	f.Fuzz(func(t *testing.T, at uint32, patch []byte) {
@@ -252,7 +252,7 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := load(t, path); err != nil && !strings.Contains(err.Error(), path) {
+		if _, err := loadStore(t, path); err != nil && !strings.Contains(err.Error(), path) {
 			t.Error(err)
 		}
 	})
