--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -12,127 +12,128 @@
 	"violetspan.example/violetspan/internal/strict"
 )
 
-// Experiment is what a file asks for. Each size and seed is one installation and one
-// day, played once by each policy.
+// Experiment is the content of an experiment file. Each size and seed gives one installation
+// and one day of traffic, which every policy plays once.
 type Experiment struct {
 	Name           string
 	Sizes          []int    // exchanges
-	Load           float64  // against the plan that the groups were sized for
-	LengthSeconds  float64  // of a day, seconds
-	Seeds          int      // days for each size
-	FirstSeed      uint64   // of them
-	Faults         int      // of the operators' record, for each day
+	Load           float64  // relative to the plan for which the groups are sized
+	LengthSeconds  float64  // length of a day
+	Seeds          int      // days per size
+	FirstSeed      uint64   // seed of the first day
+	Faults         int      // faults per day
 	TargetBlocking float64  // blocking at which the planner counts a group as full
 	Policies       []string // the first is compared with each of the others
 }
 
-// Bounds and defaults of an experiment.
+// Upper bounds of an experiment's file and values.
 const (
-	maxFile    = 1 << 20
-	maxSize    = 64
-	maxSeeds   = 1000
-	maxLoad    = 5
-	maxLengthS = 600
-	maxTrouble = 8
+	maxFileBytes     = 1 << 20
+	maxSize          = 64
+	maxSeeds         = 1000
+	maxLoad          = 5
+	maxLengthSeconds = 600
+	maxFaults        = 8
 )
 
-// DefaultExperiment is an experiment whose file says nothing.
+// DefaultExperiment returns the experiment of a file that sets no key.
 func DefaultExperiment() *Experiment {
 	return &Experiment{Name: "experiment", Sizes: []int{5, 7, 9}, Load: 1.1, LengthSeconds: 50, Seeds: 30, FirstSeed: 1, TargetBlocking: 0.2,
 		Policies: []string{PolicyWeights, PolicyController, PolicyEven}}
 }
 
-// Load reads an experiment's file.
+// Load reads an experiment file.
 func Load(path string) (*Experiment, error) {
-	b, err := strict.Read(path, maxFile)
+	content, err := strict.Read(path, maxFileBytes)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	return Parse(path, b)
+	return Parse(path, content)
 }
 
-// Parse reads an experiment in YAML. An error names file, line and key.
-func Parse(name string, b []byte) (*Experiment, error) {
-	bad := func(line int, key, format string, args ...any) error {
-		return strict.Bad(name, line, key, fmt.Sprintf(format, args...))
+// Parse parses an experiment in YAML. An error names the file, line and key.
+func Parse(file string, content []byte) (*Experiment, error) {
+	invalid := func(line int, key, format string, args ...any) error {
+		return strict.Bad(file, line, key, fmt.Sprintf(format, args...))
 	}
-	e := DefaultExperiment()
-	root, err := strict.Document(name, b, "name")
+	experiment := DefaultExperiment()
+	root, err := strict.Document(file, content, "name")
 	if err != nil {
 		return nil, err
 	}
-	num := func(v *yaml.Node, key string, low, high float64, to *float64) error {
-		x, err := strconv.ParseFloat(v.Value, 64)
-		if v.Kind != yaml.ScalarNode || err != nil || math.IsNaN(x) || x < low || x > high {
-			return bad(v.Line, key, "%q is not a number from %g to %g", v.Value, low, high)
+	parseNumber := func(node *yaml.Node, key string, low, high float64, target *float64) error {
+		x, err := strconv.ParseFloat(node.Value, 64)
+		if node.Kind != yaml.ScalarNode || err != nil || math.IsNaN(x) || x < low || x > high {
+			return invalid(node.Line, key, "%q is not a number from %g to %g", node.Value, low, high)
 		}
-		*to = x
+		*target = x
 		return nil
 	}
-	whole := func(v *yaml.Node, key string, low, high int, to *int) error {
-		x, err := strconv.Atoi(v.Value)
-		if v.Kind != yaml.ScalarNode || err != nil || x < low || x > high {
-			return bad(v.Line, key, "%q is not a whole number from %d to %d", v.Value, low, high)
+	parseInteger := func(node *yaml.Node, key string, low, high int, target *int) error {
+		x, err := strconv.Atoi(node.Value)
+		if node.Kind != yaml.ScalarNode || err != nil || x < low || x > high {
+			return invalid(node.Line, key, "%q is not a whole number from %d to %d", node.Value, low, high)
 		}
-		*to = x
+		*target = x
 		return nil
 	}
-	err = strict.Each(name, "name", root, func(key string, line int, v *yaml.Node) (err error) {
+	err = strict.Each(file, "name", root, func(key string, line int, node *yaml.Node) (err error) {
 		switch key {
 		case "name":
-			if v.Kind != yaml.ScalarNode || v.Value == "" || strings.ContainsAny(v.Value, "/\\\n\x00") {
-				err = bad(v.Line, key, "%q is no plain name", v.Value)
+			if node.Kind != yaml.ScalarNode || node.Value == "" || strings.ContainsAny(node.Value, "/\\\n\x00") {
+				err = invalid(node.Line, key, "%q is not a valid name: it is empty or contains a slash, line break or NUL", node.Value)
 			}
-			e.Name = v.Value
+			experiment.Name = node.Value
 		case "load":
-			err = num(v, key, 0.01, maxLoad, &e.Load)
+			err = parseNumber(node, key, 0.01, maxLoad, &experiment.Load)
 		case "length_s":
-			err = num(v, key, 1, maxLengthS, &e.LengthSeconds)
+			err = parseNumber(node, key, 1, maxLengthSeconds, &experiment.LengthSeconds)
 		case "blocking":
-			err = num(v, key, 0, 0.9, &e.TargetBlocking)
+			err = parseNumber(node, key, 0, 0.9, &experiment.TargetBlocking)
 		case "seeds":
-			err = whole(v, key, 1, maxSeeds, &e.Seeds)
+			err = parseInteger(node, key, 1, maxSeeds, &experiment.Seeds)
 		case "first_seed":
 			n := 0
-			err = whole(v, key, 0, math.MaxInt32, &n)
-			e.FirstSeed = uint64(n)
+			err = parseInteger(node, key, 0, math.MaxInt32, &n)
+			experiment.FirstSeed = uint64(n)
 		case "troubles":
-			err = whole(v, key, 0, maxTrouble, &e.Faults)
+			err = parseInteger(node, key, 0, maxFaults, &experiment.Faults)
 		case "sizes", "policies":
-			if v.Kind != yaml.SequenceNode || len(v.Content) == 0 || len(v.Content) > 16 {
-				return bad(v.Line, key, "a list of 1 to 16 is wanted")
+			if node.Kind != yaml.SequenceNode || len(node.Content) == 0 || len(node.Content) > 16 {
+				return invalid(node.Line, key, "a list of 1 to 16 items is required")
 			}
-			e.clear(key)
-			for _, n := range v.Content {
+			experiment.clearList(key)
+			for _, item := range node.Content {
 				size := 0
 				if key == "sizes" {
-					err = whole(n, key, 3, maxSize, &size)
-					if err == nil && slices.Contains(e.Sizes, size) {
-						err = bad(n.Line, key, "%d stands twice", size)
+					err = parseInteger(item, key, 3, maxSize, &size)
+					if err == nil && slices.Contains(experiment.Sizes, size) {
+						err = invalid(item.Line, key, "%d is listed twice", size)
 					}
-					e.Sizes = append(e.Sizes, size)
+					experiment.Sizes = append(experiment.Sizes, size)
 				} else {
-					if n.Kind != yaml.ScalarNode || !slices.Contains(Policies, n.Value) || slices.Contains(e.Policies, n.Value) {
-						err = bad(n.Line, key, "%q is none of %s, or stands twice", n.Value, strings.Join(Policies, ", "))
+					if item.Kind != yaml.ScalarNode || !slices.Contains(Policies, item.Value) || slices.Contains(experiment.Policies, item.Value) {
+						err = invalid(item.Line, key, "%q is none of %s, or is listed twice", item.Value, strings.Join(Policies, ", "))
 					}
-					e.Policies = append(e.Policies, n.Value)
+					experiment.Policies = append(experiment.Policies, item.Value)
 				}
 				if err != nil {
 					return err
 				}
 			}
 		default:
-			err = bad(line, key, "not known")
+			err = invalid(line, key, "not known")
 		}
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return e, nil
+	return experiment, nil
 }
 
-func (e *Experiment) clear(key string) {
+// clearList removes the default values of a list.
+func (e *Experiment) clearList(key string) {
 	if key == "sizes" {
 		e.Sizes = nil
 	} else {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,35 +11,36 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The same file gives the same runs, whatever the cores do, and all is written.
+// The same file must give the same results in every run, independent of the scheduling of
+// goroutines, and all output files must be written.
 func TestExperiment(t *testing.T) {
-	e, err := Parse("x.yaml", []byte("name: short\nsizes: [4, 5]\nseeds: 3\nlength_s: 12\ntroubles: 1\npolicies: [weights, module, even, direct, module-even]\n"))
+	experiment, err := Parse("x.yaml", []byte("name: short\nsizes: [4, 5]\nseeds: 3\nlength_s: 12\ntroubles: 1\npolicies: [weights, module, even, direct, module-even]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := func() string {
+	runAll := func() string {
 		calls := 0
-		runs, err := e.Run(context.Background(), func(done, all int) {
+		runs, err := experiment.Run(context.Background(), func(done, all int) {
 			calls++
 			if done != calls || all != 30 {
-				t.Errorf("%d of %d at call %d", done, all, calls)
+				t.Errorf("progress %d of %d at call %d", done, all, calls)
 			}
 		})
 		if err != nil || calls != 30 {
 			t.Fatal(calls, err)
 		}
 		var b bytes.Buffer
-		if err := e.WriteCSV(&b, runs); err != nil {
+		if err := experiment.WriteCSV(&b, runs); err != nil {
 			t.Fatal(err)
 		}
-		if err := e.WriteTable(&b, runs); err != nil {
+		if err := experiment.WriteTable(&b, runs); err != nil {
 			t.Fatal(err)
 		}
-		if s := e.Summary(runs); len(s) != 4*len(Metrics) {
+		if s := experiment.Summary(runs); len(s) != 4*len(Metrics) {
 			t.Error(s)
 		}
 		dir := filepath.Join(t.TempDir(), "out")
-		if err := e.Write(dir, runs); err != nil {
+		if err := experiment.Write(dir, runs); err != nil {
 			t.Fatal(err)
 		}
 		for _, f := range []string{"runs.csv", "table.md", "against-module.svg", "against-even.svg", "setup-time.svg"} {
@@ -49,12 +50,12 @@
 		}
 		return b.String()
 	}
-	a := text()
-	if diff := cmp.Diff(a, text()); diff != "" {
+	first := runAll()
+	if diff := cmp.Diff(first, runAll()); diff != "" {
 		t.Error(diff)
 	}
-	if n := strings.Count(a, "\n"); n < 31+4*12 {
-		t.Errorf("%d lines", n)
+	if n := strings.Count(first, "\n"); n < 31+4*12 {
+		t.Errorf("%d lines in runs.csv and table.md", n)
 	}
 }
 
@@ -71,10 +72,10 @@
 		t.Error(string(b), err)
 	}
 	if _, err := MeasureSolves([]int{2}, 0, nil); err == nil {
-		t.Error("two switches")
+		t.Error("no error for two switches")
 	}
 	if _, err := MeasureSolves([]int{5}, 0, func() bool { return true }); err == nil {
-		t.Error("it went on")
+		t.Error("no error from a stopped solve")
 	}
 }
 
@@ -82,7 +83,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := DefaultExperiment().Run(ctx, nil); err == nil {
-		t.Error("it went on")
+		t.Error("no error with a cancelled context")
 	}
 }
 
@@ -97,7 +98,7 @@
 		"load: .nan":                 "f:1: key load",
 		"load: 1e300":                "f:1: key load",
 		"sizes: 5":                   "f:1: key sizes: a list",
-		"sizes: [5,\n 5]":            "f:2: key sizes: 5 stands twice",
+		"sizes: [5,\n 5]":            "f:2: key sizes: 5 is listed twice",
 		"sizes: [2]":                 "f:1: key sizes",
 		"policies: [module, best]":   "f:1: key policies: \"best\"",
 		"policies: [module, module]": "f:1: key policies",
@@ -115,18 +116,19 @@
 	}
 }
 
-// The interval holds the mean of a known law about as often as it says.
+// The mean and the interval must be close to those of a known distribution: half zeros and half
+// ones.
 func TestBootstrap(t *testing.T) {
 	mean, low, high := Bootstrap([]float64{1, 1, 1, 1}, 1000, 1)
 	if mean != 1 || low != 1 || high != 1 {
 		t.Error(mean, low, high)
 	}
-	v := make([]float64, 100)
-	for i := range v {
-		v[i] = float64(i % 2)
+	values := make([]float64, 100)
+	for i := range values {
+		values[i] = float64(i % 2)
 	}
-	mean, low, high = Bootstrap(v, 10_000, 1)
-	if mean < 0.4999 || mean > 0.5001 || low < 0.38 || low > 0.42 || high < 0.58 || high > 0.62 { // 1.96 * 0.05 each way
+	mean, low, high = Bootstrap(values, 10_000, 1)
+	if mean < 0.4999 || mean > 0.5001 || low < 0.38 || low > 0.42 || high < 0.58 || high > 0.62 { // exact: 1.96 * 0.05 on each side
 		t.Error(mean, low, high)
 	}
 }
@@ -135,19 +137,19 @@
 	f.Add([]byte("name: short\nsizes: [4, 5]\nseeds: 3\npolicies: [weights, module]\n"))
 	f.Add([]byte("load: &a 1\nlength_s: *a\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e, err := Parse("f", b)
-		if err == nil && (len(e.Sizes) == 0 || len(e.Policies) == 0 || e.Seeds < 1 || !(e.Load > 0) || !(e.LengthSeconds >= 1)) {
-			t.Errorf("%+v", e)
+		experiment, err := Parse("f", b)
+		if err == nil && (len(experiment.Sizes) == 0 || len(experiment.Policies) == 0 || experiment.Seeds < 1 || !(experiment.Load > 0) || !(experiment.LengthSeconds >= 1)) {
+			t.Errorf("%+v", experiment)
 		}
 	})
 }
 
-// The emulator ranks three deciders as the simulator does: the module, then never
-// going round, then plain even sharing.
+// The emulation must rank three policies as the simulator does: first the controller, then the
+// direct policy, then the even policy.
 func TestOrderOfPolicies(t *testing.T) {
-	e := DefaultExperiment()
-	e.Seeds, e.LengthSeconds, e.Policies = 4, 30, []string{PolicyController, PolicyDirect, PolicyEven}
-	runs, err := e.Run(context.Background(), nil)
+	experiment := DefaultExperiment()
+	experiment.Seeds, experiment.LengthSeconds, experiment.Policies = 4, 30, []string{PolicyController, PolicyDirect, PolicyEven}
+	runs, err := experiment.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -15,23 +15,23 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Policies by name. Weights and their variants are the module with a plan.
+// Names of the policies. PolicyWeights and those after it are the controller with a plan.
 const (
-	PolicyController = "module"  // as it decides without a plan
-	PolicyEven       = "even"    // plain even sharing
-	PolicyDirect     = "direct"  // never by a tandem
-	PolicyWeights    = "weights" // the module with a plan's weights and guards
-	// Parts of it, to tell what does what.
+	PolicyController = "module"  // the controller without a plan
+	PolicyEven       = "even"    // mesh.NewEvenPolicy: equal shares for all tandems
+	PolicyDirect     = "direct"  // mesh.NewDirectPolicy: no tandems
+	PolicyWeights    = "weights" // the controller with a plan's weights and guards
+	// The controller with a part of the plan, to measure the effect of each part.
 	PolicyWeightsOnly = "weights-without-guards"
 	PolicyGuardsOnly  = "guards-without-weights"
-	// The module with even weights and no guards: even sharing, but throttled.
+	// The controller with equal weights and no guards: equal shares, but with throttling.
 	PolicyEvenWeights = "module-even"
 )
 
-// Policies lists them.
+// Policies lists the names of all policies.
 var Policies = []string{PolicyController, PolicyEven, PolicyDirect, PolicyWeights, PolicyWeightsOnly, PolicyGuardsOnly, PolicyEvenWeights}
 
-// RunResult is what one run of an experiment came to.
+// RunResult holds the result of one run of an experiment.
 type RunResult struct {
 	Size   int
 	Seed   uint64
@@ -39,7 +39,7 @@
 	*mesh.Result
 }
 
-// Metrics that are compared, and how they are read off.
+// Metrics lists the compared metrics by name, with a function that reads them from a result.
 var Metrics = []struct {
 	Name  string
 	Value func(r *mesh.Result) float64
@@ -50,35 +50,36 @@
 	{"tandem share", func(r *mesh.Result) float64 { return r.TandemShare }},
 }
 
-// Run plays every size, seed and policy, several at once. Progress is called after
-// each run, by one goroutine at a time.
-func (e *Experiment) Run(ctx context.Context, progress func(done, all int)) ([]RunResult, error) {
+// Run plays every size and seed with every policy, several in parallel. progress, if not nil,
+// is called after each run, by one goroutine at a time. Run returns the first error; a
+// cancelled context is one.
+func (e *Experiment) Run(ctx context.Context, progress func(done, total int)) ([]RunResult, error) {
 	type job struct {
 		size int
 		seed uint64
 	}
 	var jobs []job
-	for _, n := range e.Sizes {
-		for s := range e.Seeds {
-			jobs = append(jobs, job{n, e.FirstSeed + uint64(s)})
+	for _, size := range e.Sizes {
+		for i := range e.Seeds {
+			jobs = append(jobs, job{size, e.FirstSeed + uint64(i)})
 		}
 	}
-	out := make([]RunResult, len(jobs)*len(e.Policies))
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
-	ticks := make(chan struct{}, len(out))
+	results := make([]RunResult, len(jobs)*len(e.Policies))
+	workers, ctx := errgroup.WithContext(ctx)
+	workers.SetLimit(runtime.GOMAXPROCS(0))
+	finished := make(chan struct{}, len(results))
 	for i, j := range jobs {
-		g.Go(func() error {
+		workers.Go(func() error {
 			for k, policy := range e.Policies {
 				if err := ctx.Err(); err != nil {
 					return err
 				}
-				r, err := e.one(j.size, j.seed, policy)
+				result, err := e.runOne(j.size, j.seed, policy)
 				if err != nil {
 					return fmt.Errorf("size %d, seed %d, policy %s: %w", j.size, j.seed, policy, err)
 				}
-				out[i*len(e.Policies)+k] = RunResult{j.size, j.seed, policy, r}
-				ticks <- struct{}{}
+				results[i*len(e.Policies)+k] = RunResult{j.size, j.seed, policy, result}
+				finished <- struct{}{}
 			}
 			return nil
 		})
@@ -87,30 +88,31 @@
 	go func() {
 		defer close(done)
 		n := 0
-		for range ticks {
+		for range finished {
 			n++
 			if progress != nil {
-				progress(n, len(out))
+				progress(n, len(results))
 			}
 		}
 	}()
-	err := g.Wait()
-	close(ticks)
+	err := workers.Wait()
+	close(finished)
 	<-done
-	return out, err
+	return results, err
 }
 
-func (e *Experiment) one(size int, seed uint64, policy string) (*mesh.Result, error) {
-	c := DrawConfig(size, e.Load, time.Duration(e.LengthSeconds*float64(time.Second)), seed)
-	AddFaults(&c, e.Faults)
-	c.NewPolicy = routing.NewPolicy
+// runOne plays one size and seed with one policy.
+func (e *Experiment) runOne(size int, seed uint64, policy string) (*mesh.Result, error) {
+	cfg := DrawConfig(size, e.Load, time.Duration(e.LengthSeconds*float64(time.Second)), seed)
+	AddFaults(&cfg, e.Faults)
+	cfg.NewPolicy = routing.NewPolicy
 	switch policy {
 	case PolicyEven:
-		c.NewPolicy = mesh.NewEvenPolicy
+		cfg.NewPolicy = mesh.NewEvenPolicy
 	case PolicyDirect:
-		c.NewPolicy = mesh.NewDirectPolicy
+		cfg.NewPolicy = mesh.NewDirectPolicy
 	case PolicyWeights, PolicyWeightsOnly, PolicyGuardsOnly, PolicyEvenWeights:
-		events, _, err := PlanEvents(&c, e.TargetBlocking, policy == PolicyWeights || policy == PolicyGuardsOnly)
+		events, _, err := PlanEvents(&cfg, e.TargetBlocking, policy == PolicyWeights || policy == PolicyGuardsOnly)
 		if err != nil {
 			return nil, err
 		}
@@ -119,47 +121,48 @@
 				events[x].Weights = nil
 			}
 			if policy == PolicyEvenWeights {
-				events[x].Weights = even(size, x)
+				events[x].Weights = evenWeights(size, x)
 			}
 		}
-		c.ExtraEvents = func(x int, now time.Duration) []routing.Event { return []routing.Event{events[x]} }
+		cfg.ExtraEvents = func(x int, now time.Duration) []routing.Event { return []routing.Event{events[x]} }
 	}
-	return mesh.Run(c)
+	return mesh.Run(cfg)
 }
 
-// even weighs all tandems alike.
-func even(size, here int) []routing.Weight {
-	var w []routing.Weight
+// evenWeights returns equal weights for all tandems, for the controller of the exchange own.
+func evenWeights(size, own int) []routing.Weight {
+	var weights []routing.Weight
 	for dest := range size {
-		for t := range size {
-			if dest != here && t != here && t != dest {
-				w = append(w, routing.Weight{Dest: dest, Tandem: t, Weight: 1})
+		for tandem := range size {
+			if dest != own && tandem != own && tandem != dest {
+				weights = append(weights, routing.Weight{Dest: dest, Tandem: tandem, Weight: 1})
 			}
 		}
 	}
-	return w
+	return weights
 }
 
-// Difference is how one policy does against another in one metric over paired seeds.
+// Difference compares two policies in one metric over pairs of runs of the same size and seed.
 type Difference struct {
-	Size               int // 0: all
+	Size               int // 0: all sizes
 	Metric             string
-	First, Second      float64 // means
-	Mean               float64 // of the differences
-	Low, High          float64 // 95% interval, by bootstrap over the pairs
-	Pairs, FirstHigher int     // pairs, and those in which Mine was higher
+	First, Second      float64 // mean of each policy
+	Mean               float64 // mean of the differences, First minus Second
+	Low, High          float64 // 95% confidence interval of Mean, by bootstrap over the pairs
+	Pairs, FirstHigher int     // number of pairs, and of those in which the first policy was higher
 }
 
-// resamples of a bootstrap.
-const resamples = 10_000
+// bootstrapResamples is the number of resamples for an interval.
+const bootstrapResamples = 10_000
 
-// Compare gives the differences of two policies by metric and size.
-func Compare(runs []RunResult, mine, other string) []Difference {
+// Compare returns the differences of two policies by metric and, within a metric, by size,
+// starting with those over all sizes.
+func Compare(runs []RunResult, first, second string) []Difference {
 	type key struct {
 		size int
 		seed uint64
 	}
-	pick := func(policy string) map[key]*mesh.Result {
+	byPolicy := func(policy string) map[key]*mesh.Result {
 		m := map[key]*mesh.Result{}
 		for _, r := range runs {
 			if r.Policy == policy {
@@ -168,11 +171,11 @@
 		}
 		return m
 	}
-	a, b := pick(mine), pick(other)
+	firstResults, secondResults := byPolicy(first), byPolicy(second)
 	var keys []key
 	sizes := []int{0}
-	for k := range a {
-		if b[k] != nil {
+	for k := range firstResults {
+		if secondResults[k] != nil {
 			keys = append(keys, k)
 			if !slices.Contains(sizes, k.size) {
 				sizes = append(sizes, k.size)
@@ -186,50 +189,51 @@
 		return int(int64(x.seed) - int64(y.seed))
 	})
 	slices.Sort(sizes)
-	var out []Difference
-	for _, m := range Metrics {
-		for _, n := range sizes {
-			d := Difference{Size: n, Metric: m.Name}
+	var differences []Difference
+	for _, metric := range Metrics {
+		for _, size := range sizes {
+			difference := Difference{Size: size, Metric: metric.Name}
 			var diffs []float64
 			for _, k := range keys {
-				if n != 0 && k.size != n {
+				if size != 0 && k.size != size {
 					continue
 				}
-				x, y := m.Value(a[k]), m.Value(b[k])
-				d.First += x
-				d.Second += y
+				x, y := metric.Value(firstResults[k]), metric.Value(secondResults[k])
+				difference.First += x
+				difference.Second += y
 				if x > y {
-					d.FirstHigher++
+					difference.FirstHigher++
 				}
 				diffs = append(diffs, x-y)
 			}
-			if d.Pairs = len(diffs); d.Pairs == 0 {
+			if difference.Pairs = len(diffs); difference.Pairs == 0 {
 				continue
 			}
-			d.First /= float64(d.Pairs)
-			d.Second /= float64(d.Pairs)
-			d.Mean, d.Low, d.High = Bootstrap(diffs, resamples, 1)
-			out = append(out, d)
+			difference.First /= float64(difference.Pairs)
+			difference.Second /= float64(difference.Pairs)
+			difference.Mean, difference.Low, difference.High = Bootstrap(diffs, bootstrapResamples, 1)
+			differences = append(differences, difference)
 		}
 	}
-	return out
+	return differences
 }
 
-// Bootstrap returns the mean of values and a 95% percentile interval for it.
-func Bootstrap(v []float64, n int, seed uint64) (mean, low, high float64) {
-	if len(v) == 0 {
+// Bootstrap returns the mean of values and its 95% percentile bootstrap interval. Without values
+// all three are NaN.
+func Bootstrap(values []float64, resamples int, seed uint64) (mean, low, high float64) {
+	if len(values) == 0 {
 		return math.NaN(), math.NaN(), math.NaN()
 	}
-	r := rand.New(rand.NewPCG(seed, uint64(len(v))))
-	means := make([]float64, n)
+	rng := rand.New(rand.NewPCG(seed, uint64(len(values))))
+	means := make([]float64, resamples)
 	for i := range means {
-		for range v {
-			means[i] += v[r.IntN(len(v))] / float64(len(v))
+		for range values {
+			means[i] += values[rng.IntN(len(values))] / float64(len(values))
 		}
 	}
 	slices.Sort(means)
-	for _, x := range v {
-		mean += x / float64(len(v))
+	for _, x := range values {
+		mean += x / float64(len(values))
 	}
-	return mean, means[n*25/1000], means[n*975/1000]
+	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
--- a/internal/lab/write.go
+++ b/internal/lab/write.go
@@ -15,30 +15,30 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // the form of the plots
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the SVG format
 )
 
-// Write puts an experiment's results into a folder: runs.csv, table.md and the plots
-// setup-time.svg and, for each policy but the first, against-POLICY.svg. Files of those
-// names are replaced.
+// Write writes an experiment's results to a directory: runs.csv, table.md and the plots
+// setup-time.svg and, for each policy but the first, against-POLICY.svg. It creates the
+// directory if necessary and replaces files of those names.
 func (e *Experiment) Write(dir string, runs []RunResult) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	for _, f := range []struct {
-		name string
-		do   func(w io.Writer) error
+	for _, output := range []struct {
+		name  string
+		write func(w io.Writer) error
 	}{{"runs.csv", func(w io.Writer) error { return e.WriteCSV(w, runs) }}, {"table.md", func(w io.Writer) error { return e.WriteTable(w, runs) }}} {
-		out, err := os.Create(filepath.Join(dir, f.name))
+		file, err := os.Create(filepath.Join(dir, output.name))
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		err = f.do(out)
-		if cerr := out.Close(); err == nil {
-			err = cerr
+		err = output.write(file)
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
-			return fmt.Errorf("lab: %s: %w", f.name, err)
+			return fmt.Errorf("lab: %s: %w", output.name, err)
 		}
 	}
 	for _, other := range e.Policies[1:] {
@@ -47,18 +47,18 @@
 			return fmt.Errorf("lab: %s: %w", name, err)
 		}
 	}
-	if err := e.plotTimes(filepath.Join(dir, "setup-time.svg"), runs); err != nil {
+	if err := e.plotSetUpTimes(filepath.Join(dir, "setup-time.svg"), runs); err != nil {
 		return fmt.Errorf("lab: setup-time.svg: %w", err)
 	}
 	return nil
 }
 
-// WriteCSV writes a line a run.
+// WriteCSV writes a header and one row per run.
 func (e *Experiment) WriteCSV(w io.Writer, runs []RunResult) error {
 	out := csv.NewWriter(w)
-	head := []string{"size", "seed", "policy", "service", "worst_10s", "worst_class", "tandem_share", "offered", "tries", "stood", "late", "cut",
+	header := []string{"size", "seed", "policy", "service", "worst_10s", "worst_class", "tandem_share", "offered", "tries", "stood", "late", "cut",
 		"refused", "turned_back", "timed_out", "given_up", "processor_full", "sends", "repeats", "p50_ms", "p99_ms", "trace"}
-	if err := out.Write(head); err != nil {
+	if err := out.Write(header); err != nil {
 		return err
 	}
 	for _, r := range runs {
@@ -80,14 +80,15 @@
 	return out.Error()
 }
 
-func sizeName(n int) string {
+// sizeLabel returns the label of a Difference's size.
+func sizeLabel(n int) string {
 	if n == 0 {
 		return "all"
 	}
 	return strconv.Itoa(n)
 }
 
-// WriteTable writes the paired differences in Markdown.
+// WriteTable writes the differences of the first policy to each other one as Markdown tables.
 func (e *Experiment) WriteTable(w io.Writer, runs []RunResult) error {
 	_, err := fmt.Fprintf(w, "# %s\n\nLoad %g of plan, %g s a day, sizes %v, seeds %d to %d, troubles %d a day, blocking %g.\n"+
 		"Differences are of pairs with the same installation, day and callers; intervals are 95%%, by bootstrap.\n",
@@ -102,7 +103,7 @@
 		}
 		for _, d := range Compare(runs, e.Policies[0], other) {
 			if _, err := fmt.Fprintf(w, "| %s | %s | %.4f | %.4f | %+.4f | %+.4f to %+.4f | %d of %d |\n",
-				d.Metric, sizeName(d.Size), d.First, d.Second, d.Mean, d.Low, d.High, d.FirstHigher, d.Pairs); err != nil {
+				d.Metric, sizeLabel(d.Size), d.First, d.Second, d.Mean, d.Low, d.High, d.FirstHigher, d.Pairs); err != nil {
 				return err
 			}
 		}
@@ -110,88 +111,92 @@
 	return nil
 }
 
-// errors of a plot's points: what plotter.NewYErrorBars wants.
-type points struct {
+// pointsWithErrors holds points and their errors as plotter.NewYErrorBars requires them.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
+// plotDifferences plots the differences between the first policy and another one, with their
+// intervals.
 func (e *Experiment) plotDifferences(path string, runs []RunResult, other string) error {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s: %s less %s, 95%% intervals", e.Name, e.Policies[0], other)
-	p.Y.Label.Text = "difference"
-	var pts points
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s: %s less %s, 95%% intervals", e.Name, e.Policies[0], other)
+	chart.Y.Label.Text = "difference"
+	var points pointsWithErrors
 	var names []string
 	for _, d := range Compare(runs, e.Policies[0], other) {
-		pts.XYs = append(pts.XYs, plotter.XY{X: float64(len(names)), Y: d.Mean})
-		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
-		names = append(names, d.Metric+", "+sizeName(d.Size))
+		points.XYs = append(points.XYs, plotter.XY{X: float64(len(names)), Y: d.Mean})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
+		names = append(names, d.Metric+", "+sizeLabel(d.Size))
 	}
 	if len(names) == 0 {
 		return nil
 	}
-	dots, err := plotter.NewScatter(pts)
+	dots, err := plotter.NewScatter(points)
 	if err != nil {
 		return err
 	}
-	bars, err := plotter.NewYErrorBars(pts)
+	bars, err := plotter.NewYErrorBars(points)
 	if err != nil {
 		return err
 	}
 	zero := plotter.NewFunction(func(float64) float64 { return 0 })
 	zero.Color = color.Gray{Y: 128}
-	p.Add(zero, dots, bars)
-	p.NominalX(names...)
-	p.X.Tick.Label.Rotation = 0.6
-	p.X.Tick.Label.XAlign = -1
-	return p.Save(22*vg.Centimeter, 13*vg.Centimeter, path)
+	chart.Add(zero, dots, bars)
+	chart.NominalX(names...)
+	chart.X.Tick.Label.Rotation = 0.6
+	chart.X.Tick.Label.XAlign = -1
+	return chart.Save(22*vg.Centimeter, 13*vg.Centimeter, path)
 }
 
-func (e *Experiment) plotTimes(path string, runs []RunResult) error {
-	p := plot.New()
-	p.Title.Text = e.Name + ": time from a caller's first try until the call stands"
-	p.X.Label.Text = "percentile"
-	p.Y.Label.Text = "milliseconds"
-	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+// plotSetUpTimes plots the percentiles of the set-up times by policy, over all runs.
+func (e *Experiment) plotSetUpTimes(path string, runs []RunResult) error {
+	chart := plot.New()
+	chart.Title.Text = e.Name + ": time from a caller's first try until the call stands"
+	chart.X.Label.Text = "percentile"
+	chart.Y.Label.Text = "milliseconds"
+	chart.Y.Scale, chart.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for k, policy := range e.Policies {
-		var all *hdrhistogram.Histogram
+		var merged *hdrhistogram.Histogram
 		for _, r := range runs {
 			if r.Policy != policy {
 				continue
 			}
-			if all == nil {
-				all = hdrhistogram.Import(r.SetUpTime.Export())
+			if merged == nil {
+				merged = hdrhistogram.Import(r.SetUpTime.Export())
 			} else {
-				all.Merge(r.SetUpTime)
+				merged.Merge(r.SetUpTime)
 			}
 		}
-		if all == nil || all.TotalCount() == 0 {
+		if merged == nil || merged.TotalCount() == 0 {
 			continue
 		}
-		var xy plotter.XYs
+		var points plotter.XYs
 		for q := 1.0; q < 100; q++ {
-			xy = append(xy, plotter.XY{X: q, Y: max(0.001, float64(all.ValueAtQuantile(q))/1000)})
+			points = append(points, plotter.XY{X: q, Y: max(0.001, float64(merged.ValueAtQuantile(q))/1000)})
 		}
-		line, err := plotter.NewLine(xy)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
 		line.Color = plotutil.Color(k)
-		p.Add(line)
-		p.Legend.Add(policy, line)
+		chart.Add(line)
+		chart.Legend.Add(policy, line)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	return p.Save(20*vg.Centimeter, 12*vg.Centimeter, path)
+	chart.Legend.Top, chart.Legend.Left = true, true
+	return chart.Save(20*vg.Centimeter, 12*vg.Centimeter, path)
 }
 
-// Summary is the first policy against each other, over all sizes: a line a metric.
+// Summary compares the first policy with each other one over all sizes, with one line per
+// metric.
 func (e *Experiment) Summary(runs []RunResult) []string {
-	var out []string
+	var lines []string
 	for _, other := range e.Policies[1:] {
 		for _, d := range slices.DeleteFunc(Compare(runs, e.Policies[0], other), func(d Difference) bool { return d.Size != 0 }) {
-			out = append(out, fmt.Sprintf("%s against %s: %s %.4f to %.4f, difference %+.4f (95%% %+.4f to %+.4f), %d pairs",
+			lines = append(lines, fmt.Sprintf("%s against %s: %s %.4f to %.4f, difference %+.4f (95%% %+.4f to %+.4f), %d pairs",
 				e.Policies[0], other, d.Metric, d.First, d.Second, d.Mean, d.Low, d.High, d.Pairs))
 		}
 	}
-	return out
+	return lines
 }
--- a/internal/mesh/engine.go
+++ b/internal/mesh/engine.go
@@ -7,37 +7,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// event is something that happens at a virtual time. Events of one time happen
-// in the order in which they were planned.
+// event is a function to run at a virtual time. Events at the same time run in the order
+// in which they were scheduled.
 type event struct {
-	at   time.Duration
-	seq  uint64
-	do   func()
-	what byte // for the trace
-	id   uint32
+	at    time.Duration
+	seq   uint64
+	run   func()
+	kind  byte // for the trace
+	place uint32
 }
 
-// queue is a heap with four children a node: few levels, and no box an event.
-type queue []event
+// eventQueue is a min-heap with four children per node: it has few levels, and events are
+// stored by value, without an allocation for each.
+type eventQueue []event
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-func (q *queue) push(ev event) {
+func (q *eventQueue) push(ev event) {
 	*q = append(*q, ev)
 	h := *q
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !ev.before(&h[up]) {
+		parent := (i - 1) / 4
+		if !ev.before(&h[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
 	h[i] = ev
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	top, last := h[0], h[len(h)-1]
 	h[len(h)-1] = event{}
@@ -48,45 +49,49 @@
 	}
 	i := 0
 	for {
-		least := 4*i + 1
-		if least >= len(h) {
+		smallest := 4*i + 1
+		if smallest >= len(h) {
 			break
 		}
-		for c := least + 1; c < min(4*i+5, len(h)); c++ {
-			if h[c].before(&h[least]) {
-				least = c
+		for c := smallest + 1; c < min(4*i+5, len(h)); c++ {
+			if h[c].before(&h[smallest]) {
+				smallest = c
 			}
 		}
-		if !h[least].before(&last) {
+		if !h[smallest].before(&last) {
 			break
 		}
-		h[i] = h[least]
-		i = least
+		h[i] = h[smallest]
+		i = smallest
 	}
 	h[i] = last
 	return top
 }
 
-// engine is the virtual clock.
+// engine runs events in order of virtual time and hashes their trace.
 type engine struct {
 	now    time.Duration
 	seq    uint64
-	events queue
+	events eventQueue
 	trace  *xxhash.Digest
 	steps  uint64
 }
 
 func newEngine() *engine { return &engine{trace: xxhash.New()} }
 
-// at plans an event; what and id stand for it in the trace.
-func (e *engine) at(t time.Duration, what byte, id uint32, do func()) {
+// scheduleAt schedules run at virtual time t, or now if t has passed. kind and place
+// identify the event in the trace.
+func (e *engine) scheduleAt(t time.Duration, kind byte, place uint32, run func()) {
 	e.seq++
-	e.events.push(event{at: max(t, e.now), seq: e.seq, do: do, what: what, id: id})
+	e.events.push(event{at: max(t, e.now), seq: e.seq, run: run, kind: kind, place: place})
 }
 
-func (e *engine) after(d time.Duration, what byte, id uint32, do func()) { e.at(e.now+d, what, id, do) }
+// scheduleAfter schedules run after the delay d.
+func (e *engine) scheduleAfter(d time.Duration, kind byte, place uint32, run func()) {
+	e.scheduleAt(e.now+d, kind, place, run)
+}
 
-// step runs the next event. It returns false if there is none before the end.
+// step runs the next event. It returns false if there is none up to the virtual time end.
 func (e *engine) step(end time.Duration) bool {
 	if len(e.events) == 0 || e.events[0].at > end {
 		return false
@@ -94,105 +99,106 @@
 	ev := e.events.pop()
 	e.now = ev.at
 	e.steps++
-	var b [13]byte
-	binary.LittleEndian.PutUint64(b[:], uint64(ev.at))
-	b[8] = ev.what
-	binary.LittleEndian.PutUint32(b[9:], ev.id)
-	_, _ = e.trace.Write(b[:]) // a hash takes every write
-	ev.do()
+	var record [13]byte
+	binary.LittleEndian.PutUint64(record[:], uint64(ev.at))
+	record[8] = ev.kind
+	binary.LittleEndian.PutUint32(record[9:], ev.place)
+	_, _ = e.trace.Write(record[:]) // a hash never returns an error
+	ev.run()
 	return true
 }
 
-// job is work for a processor.
+// job is a unit of work for a processor.
 type job struct {
-	work  time.Duration // at full speed
-	since time.Duration
-	done  func()
+	work     time.Duration // time needed at full speed
+	queuedAt time.Duration
+	done     func() // called after completion; nil: nothing to do
 }
 
-// maxJobs bounds a processor's lines; set-ups are turned away long before.
-const maxJobs = 1 << 16
+// maxQueueLength bounds each queue of a processor. Set-ups are refused long before that.
+const maxQueueLength = 1 << 16
 
-// processor serves one job at a time: all waiting set-ups before any follower (an
-// answer or a release), each line first come first served.
+// processor serves one job at a time. Waiting set-ups take priority over follow-ups
+// (answers and releases); each queue is first in, first out.
 type processor struct {
-	e      *engine
-	id     uint32
-	speed  func(now time.Duration) float64 // 1: full
-	busy   bool
-	ends   time.Duration
-	setUps []job
-	follow []job
-	ahead  time.Duration // work of the waiting set-ups
-	gen    uint32        // raised when it is cleared
-	used   time.Duration // time spent serving
-	// waits is told how long each job waited, if set.
-	waits func(follower bool, w time.Duration)
+	engine     *engine
+	id         uint32
+	speed      func(now time.Duration) float64 // 1: full speed
+	busy       bool
+	busyUntil  time.Duration
+	setUps     []job
+	followUps  []job
+	setUpWork  time.Duration // total work of the waiting set-ups
+	generation uint32        // incremented by discardAll, to ignore completions of discarded jobs
+	busyTime   time.Duration // time spent serving
+	// onServe, if set, is called with the time that each job waited in its queue.
+	onServe func(followUp bool, wait time.Duration)
 }
 
-// wait is how long a set-up that came now would wait at the present speed.
-func (p *processor) wait() time.Duration {
-	w := time.Duration(float64(p.ahead) / p.speed(p.e.now))
+// expectedWait returns how long a set-up that arrives now would wait at the current speed.
+func (p *processor) expectedWait() time.Duration {
+	w := time.Duration(float64(p.setUpWork) / p.speed(p.engine.now))
 	if p.busy {
-		w += max(0, p.ends-p.e.now)
+		w += max(0, p.busyUntil-p.engine.now)
 	}
 	return w
 }
 
-// add puts a job in line; work that finds the line full is lost.
-func (p *processor) add(work time.Duration, follower bool, done func()) {
-	j := job{work, p.e.now, done}
-	line := &p.setUps
-	if follower {
-		line = &p.follow
+// enqueue adds a job to its queue. The job is dropped if the queue is full.
+func (p *processor) enqueue(work time.Duration, followUp bool, done func()) {
+	j := job{work, p.engine.now, done}
+	queue := &p.setUps
+	if followUp {
+		queue = &p.followUps
 	}
-	if len(*line) >= maxJobs {
+	if len(*queue) >= maxQueueLength {
 		return
 	}
-	*line = append(*line, j)
-	if !follower {
-		p.ahead += work
+	*queue = append(*queue, j)
+	if !followUp {
+		p.setUpWork += work
 	}
 	if !p.busy {
-		p.next()
+		p.serveNext()
 	}
 }
 
-func (p *processor) next() {
-	var j job
-	follower := len(p.setUps) == 0
+// serveNext starts the next waiting job, if any.
+func (p *processor) serveNext() {
+	var current job
+	followUp := len(p.setUps) == 0
 	switch {
-	case !follower:
-		j, p.setUps = p.setUps[0], p.setUps[1:]
-		p.ahead -= j.work
-	case len(p.follow) > 0:
-		j, p.follow = p.follow[0], p.follow[1:]
+	case !followUp:
+		current, p.setUps = p.setUps[0], p.setUps[1:]
+		p.setUpWork -= current.work
+	case len(p.followUps) > 0:
+		current, p.followUps = p.followUps[0], p.followUps[1:]
 	default:
 		return
 	}
-	if p.waits != nil {
-		p.waits(follower, p.e.now-j.since)
+	if p.onServe != nil {
+		p.onServe(followUp, p.engine.now-current.queuedAt)
 	}
-	took := time.Duration(float64(j.work) / p.speed(p.e.now))
-	p.busy, p.ends = true, p.e.now+took
-	p.used += took
-	gen := p.gen
-	p.e.at(p.ends, 'P', p.id, func() {
-		if gen != p.gen {
+	serviceTime := time.Duration(float64(current.work) / p.speed(p.engine.now))
+	p.busy, p.busyUntil = true, p.engine.now+serviceTime
+	p.busyTime += serviceTime
+	generation := p.generation
+	p.engine.scheduleAt(p.busyUntil, 'P', p.id, func() {
+		if generation != p.generation {
 			return
 		}
 		p.busy = false
-		if j.done != nil {
-			j.done()
+		if current.done != nil {
+			current.done()
 		}
-		if !p.busy { // done may have begun another
-			p.next()
+		if !p.busy { // done may have started another job
+			p.serveNext()
 		}
 	})
 }
 
-// clear forgets all work: the processor went down.
-func (p *processor) clear() {
-	p.gen++
-	p.busy, p.setUps, p.follow, p.ahead = false, nil, nil, 0
+// discardAll drops all work, as when the processor goes down.
+func (p *processor) discardAll() {
+	p.generation++
+	p.busy, p.setUps, p.followUps, p.setUpWork = false, nil, nil, 0
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,14 +1,14 @@
-// Package mesh emulates, on a virtual clock, a mesh of exchanges that call
-// controllers serve: trunk groups used from both ends, processors with one line,
-// callers that dial again, a list that is seconds late. It hosts the real
-// routing.Controller, one an exchange, or any other decider. One seed decides a run:
+// Package mesh emulates, on a virtual clock, a mesh of exchanges served by call
+// controllers: trunk groups seized from both ends, single-server processors, callers that
+// redial, and a list of exchanges that arrives seconds late. Each exchange runs its own
+// routing.Controller or any other routing.Policy. The seed determines a run completely:
 // the same Config gives the same trace hash.
 //
-// It is a model, and simpler than the world: every link has the same delay law, a
-// number always has a free line, a caller's patience is a set share of the class's
-// deadline, nobody hears advice on when to dial again, controllers don't talk to
-// each other, no connection breaks without its exchange, and a call that was cut
-// does not come again. docs/plan.md says what it was checked against.
+// The model simplifies reality: all links have the same distribution of delays, a called
+// number always has a free line, callers give up a try after a fixed share of the class's
+// deadline, no caller receives advice on when to redial, controllers don't communicate
+// with each other, a connection breaks only when its exchange goes down, and a call that
+// was cut is not offered again. docs/plan.md says what the model was checked against.
 package mesh
 
 import (
@@ -23,429 +23,445 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Class is a class of call.
+// Class describes a class of calls.
 type Class struct {
 	Name      string
-	Width     int
-	Hold      time.Duration // mean, exponential
-	GoalTime  time.Duration
-	Deadline  time.Duration
+	Width     int           // circuits on each trunk group
+	Hold      time.Duration // mean of the exponentially distributed duration of a call
+	GoalTime  time.Duration // a call established within this time earns its full worth
+	Deadline  time.Duration // a call established after this time earns nothing
 	Worth     float64
-	LateShare float64 // of the worth, for a call that stands past its goal
+	LateShare float64 // share of the worth that a call established after its goal time earns
 }
 
 // Group is a trunk group between exchanges A and B.
 type Group struct{ A, B, Circuits int }
 
-// Flow is what is offered of a class from one exchange to another.
+// Flow is the traffic of a class offered from one exchange to another.
 type Flow struct {
 	Class, From, To int
-	Rate            float64 // first tries a second
+	Rate            float64 // mean number of first tries per second
 }
 
-// Work is what a processor has to do, in set-ups.
+// Work gives the processor load of each kind of job, in units of one set-up.
 type Work struct{ Lookup, Answer, Release, Reject, Repeat float64 }
 
-// Fault is a stretch in which something is wrong.
+// Fault is an injected fault or overload that lasts from From until To.
 type Fault struct {
 	From, To  time.Duration
 	Exchanges []int   // nil: all
-	Slowdown  float64 // processors take so many times as long; 0: as usual
-	Burst     float64 // calls come so many times as often; 0: as usual
-	Down      bool    // processors are down, and start cold afterwards
+	Slowdown  float64 // multiplies the service times of processors; 0: unchanged
+	Burst     float64 // multiplies the rate of calls; 0: unchanged
+	Down      bool    // the processors are down, and start cold afterwards
 }
 
-// Config is one run.
+// Config describes one run. A pair of durations is the range of a uniform distribution.
 type Config struct {
 	Seed          uint64
-	Length        time.Duration // calls arrive for so long; then the run plays out
-	CountFrom     time.Duration // first tries before this are not counted
+	Length        time.Duration // calls arrive for this long; then the run continues until the last calls are answered
+	CountFrom     time.Duration // first tries before this time are not counted
 	Exchanges     int
 	Classes       []Class
 	Groups        []Group
 	Flows         []Flow
-	SetUpWork     []time.Duration // by exchange: a set-up's work at full speed
+	SetUpWork     []time.Duration // by exchange: processing time of a set-up at full speed
 	Work          Work
-	MaxWait       []time.Duration // by exchange: set-ups are turned away beyond this wait
+	MaxWait       []time.Duration // by exchange: set-ups that would wait longer are refused
 	LinkDelay     [2]time.Duration
-	WaveAmplitude float64       // calls wave by this share ...
-	WavePeriod    time.Duration // ... over this; 0: steady
-	DriftCV       float64       // each pair's rate is redrawn with this coefficient of variation ...
-	DriftInterval [2]time.Duration
-	TryShare      float64 // of the deadline, after which a caller gives a try up
+	WaveAmplitude float64          // rates vary sinusoidally by this share of their mean ...
+	WavePeriod    time.Duration    // ... with this period; 0: constant rates
+	DriftCV       float64          // each pair's rate is redrawn with this coefficient of variation ...
+	DriftInterval [2]time.Duration // ... after this interval
+	TryShare      float64          // share of the deadline after which a caller gives a try up
 	MaxRedials    int
-	Backoff       [2]time.Duration
-	ListDelay     [2]time.Duration // the list is late by so much
-	ColdCapacity  float64
-	WarmUpTime    time.Duration
+	Backoff       [2]time.Duration // delay before a redial
+	ListDelay     [2]time.Duration // delay of list updates
+	ColdCapacity  float64          // share of its speed that a processor has right after its start
+	WarmUpTime    time.Duration    // time from a processor's start until it has full speed
 	Faults        []Fault
 	NewPolicy     routing.Factory
-	// ExtraEvents is called for each exchange once its decider has been told of the list,
-	// also after a restart: for what reaches a decider by other ways.
+	// ExtraEvents returns events that a policy receives from other sources than the mesh.
+	// It is called for each exchange after the policy has received the list, also after a
+	// restart.
 	ExtraEvents func(exchange int, now time.Duration) []routing.Event
-	// ExtraEventsInterval calls Tell for all exchanges each time it has passed; 0: never.
+	// ExtraEventsInterval is the interval at which ExtraEvents is called again for all
+	// exchanges; 0: never.
 	ExtraEventsInterval time.Duration
-	// CheckCircuits counts the circuits of every group anew after every event.
+	// CheckCircuits recounts the circuits of every group after every event.
 	CheckCircuits bool
-	// OnFirstTry is told of each first try, if set.
+	// OnFirstTry, if set, is called for each first try.
 	OnFirstTry func(now time.Duration, class, from, to int)
 }
 
-// Rest and other times that the rules give.
+// Values of the routing settings that are the same in all runs.
 const (
-	release     = 500 * time.Millisecond
-	resend      = 800 * time.Millisecond
-	answerSlack = 20 * time.Millisecond
-	fallFactor  = 4.0
-	fallWindow  = 2 * time.Second
-	mostTries   = 5
+	releaseDelay   = 500 * time.Millisecond
+	resendInterval = 800 * time.Millisecond
+	answerSlack    = 20 * time.Millisecond
+	overloadFactor = 4.0
+	overloadWindow = 2 * time.Second
+	maxAttempts    = 5
 )
 
+// check returns an error that names the first invalid value.
 func (c *Config) check() error {
-	for _, n := range []struct {
+	for _, bound := range []struct {
 		key string
 		ok  bool
 	}{{"exchanges: 2 to 256", c.Exchanges >= 2 && c.Exchanges <= maxExchanges}, {"classes: at least one", len(c.Classes) > 0},
-		{"set_up: one an exchange", len(c.SetUpWork) == c.Exchanges}, {"max_wait: one an exchange", len(c.MaxWait) == c.Exchanges},
-		{"length: above 0 and at most an hour", c.Length > 0 && c.Length <= time.Hour}, {"make: missing", c.NewPolicy != nil},
+		{"set_up: one per exchange required", len(c.SetUpWork) == c.Exchanges}, {"max_wait: one per exchange required", len(c.MaxWait) == c.Exchanges},
+		{"length: above 0 and at most an hour", c.Length > 0 && c.Length <= time.Hour}, {"policy factory: missing", c.NewPolicy != nil},
 		{"redials: 0 to 16", c.MaxRedials >= 0 && c.MaxRedials <= 16}, {"try_share: above 0 and at most 1", c.TryShare > 0 && c.TryShare <= 1}} {
-		if !n.ok {
-			return fmt.Errorf("mesh: %s", n.key)
+		if !bound.ok {
+			return fmt.Errorf("mesh: %s", bound.key)
 		}
 	}
 	for i, w := range c.SetUpWork {
 		if w <= 0 {
-			return fmt.Errorf("mesh: set_up[%d]: not above 0", i)
+			return fmt.Errorf("mesh: set_up[%d]: must be above 0", i)
 		}
 	}
 	for i, g := range c.Groups {
 		if g.A < 0 || g.B < 0 || g.A >= c.Exchanges || g.B >= c.Exchanges || g.A == g.B || g.Circuits < 0 {
-			return fmt.Errorf("mesh: groups[%d]: %+v can't be", i, g)
+			return fmt.Errorf("mesh: groups[%d]: invalid group %+v", i, g)
 		}
 	}
-	for i, f := range c.Flows {
-		if f.Class < 0 || f.Class >= len(c.Classes) || f.From < 0 || f.To < 0 || f.From >= c.Exchanges ||
-			f.To >= c.Exchanges || f.From == f.To || !(f.Rate >= 0) || f.Rate > 1e6 {
-			return fmt.Errorf("mesh: flows[%d]: %+v can't be", i, f)
+	for i, flow := range c.Flows {
+		if flow.Class < 0 || flow.Class >= len(c.Classes) || flow.From < 0 || flow.To < 0 || flow.From >= c.Exchanges ||
+			flow.To >= c.Exchanges || flow.From == flow.To || !(flow.Rate >= 0) || flow.Rate > 1e6 {
+			return fmt.Errorf("mesh: flows[%d]: invalid flow %+v", i, flow)
 		}
 	}
 	return nil
 }
 
-// group is one trunk group's state.
-type group struct {
+// groupState holds the ends, size and free circuits of a trunk group.
+type groupState struct {
 	a, b, size, free int
 }
 
-// exchange is one exchange: its processor, its decider and what that one owes.
-type exchange struct {
-	no      int
-	proc    processor
-	d       routing.Policy
-	groups  []*group // by far exchange; nil: none
-	tries   map[string]*try
-	up      bool
-	epoch   int           // raised at each start
-	started time.Duration // of the last start; 0: long ago
-	wakeAt  time.Duration
-	told    []bool // by far exchange: news of the group is on its way
-	legs    map[*attempt]bool
-	budget  float64 // of the cold rule
-	budgAt  time.Duration
-	state   routing.State // as the list will say
-}
-
-// caller is a caller's wish, over all his tries.
-type caller struct {
-	no       int
-	class    int
-	from, to int
-	first    time.Duration
-	hold     time.Duration
-	tries    int
-	counted  bool // from Warm on
-	stood    bool
-	pause    time.Duration
-	number   string
-	took     time.Duration // from the first try to the answer
-}
-
-// try is a call as a decider is offered it, by a caller or by another exchange.
-type try struct {
-	key     string
-	x       *exchange
-	c       *caller
-	expires time.Duration
-	parent  *attempt // of the exchange that passed it on; nil: a caller's
-	owed    bool     // the final answer
-	sent    int
-	out     *attempt
-	beyond  bool // the last attempt met a full processor
-	rest    time.Duration
-}
-
-// attempt is one set-up toward another exchange, with the circuits it holds.
-type attempt struct {
-	t        *try
-	no       int
-	to       int
-	g        *group
-	sentAt   time.Duration
-	phase    phase
-	holds    bool // its circuits
-	child    *try // at the tandem
-	answered bool // at the far end
-}
-
+// exchangeState holds an exchange's processor, policy and calls.
+type exchangeState struct {
+	number        int
+	proc          processor
+	policy        routing.Policy
+	groups        []*groupState        // by far exchange; nil: none
+	tries         map[string]*tryState // by key
+	up            bool
+	epoch         int           // incremented at each start
+	started       time.Duration // time of the last start; 0: long ago
+	wakeAt        time.Duration
+	reportPending []bool                 // by far exchange: a report on the group is scheduled
+	holding       map[*attemptState]bool // attempts and calls from here that hold circuits
+	coldBudget    float64                // set-ups that a cold processor can still take without an overload
+	coldBudgetAt  time.Duration          // time at which coldBudget was updated
+	state         routing.State          // state that the list shows, after its delay
+}
+
+// callerState holds what a caller requests, and its progress over all tries.
+type callerState struct {
+	index       int
+	class       int
+	from, to    int
+	firstTryAt  time.Duration
+	hold        time.Duration
+	tries       int
+	counted     bool // first tried at Config.CountFrom or later
+	established bool
+	redialDelay time.Duration
+	number      string
+	setUpTime   time.Duration // from the first try to the answer
+}
+
+// tryState is a call as offered to a policy, by a caller or by another exchange.
+type tryState struct {
+	key           string
+	exchange      *exchangeState
+	caller        *callerState
+	expires       time.Duration
+	parent        *attemptState // the attempt of the exchange that passed it on; nil: offered by a caller
+	pending       bool          // the final answer is pending
+	sends         int
+	lastAttempt   *attemptState
+	processorFull bool          // the last attempt ended at a full processor
+	notBefore     time.Duration // earliest time of the next attempt
+}
+
+// attemptState is one set-up toward another exchange, or the call that it established.
+type attemptState struct {
+	try           *tryState
+	index         int
+	to            int
+	group         *groupState
+	sentAt        time.Duration
+	phase         phase
+	holdsCircuits bool
+	child         *tryState // the try at the tandem; nil: none
+	answered      bool      // by the far end
+}
+
+// phase is the state of an attempt.
 type phase uint8
 
 const (
-	out     phase = iota // waits for its answer
-	stands               // holds until its end
-	givenUp              // timed out, called off or left: nothing is due
+	outstanding phase = iota // waits for an answer
+	established              // established until the call ends
+	givenUp                  // timed out or cancelled, or its exchange went down: no answer is expected
 	ended
 )
 
-// Mesh is one run.
+// Mesh is the state of one run.
 type Mesh struct {
 	*engine
-	cfg    Config
-	set    routing.Settings
-	xs     []*exchange
-	groups []*group
-	wire   *rand.Rand // link delays
-	res    Result
-	keys   int
-	err    error
-	drift  []float64 // by flow
-	peak   float64
-}
-
-// Run plays a run out. An error is a bad Config, a decider that did what no
-// exchange can carry out, or circuits that did not add up.
+	cfg        Config
+	settings   routing.Settings
+	exchanges  []*exchangeState
+	groups     []*groupState
+	linkRand   *rand.Rand // draws the delays of links and of list updates
+	result     Result
+	keyCount   int // keys assigned to tries
+	err        error
+	drift      []float64 // by flow: factor on its mean rate
+	peakFactor float64   // upper bound of all rate factors
+}
+
+// Run emulates a mesh until all its calls are answered. It returns an error if the Config is
+// invalid, if a policy returned an action that no exchange can execute, or if the free and
+// held circuits of a group don't add up to its size.
 func Run(cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	m := &Mesh{engine: newEngine(), cfg: cfg, wire: rand.New(rand.NewPCG(cfg.Seed, 2))}
-	m.res.begin(&cfg)
-	m.set = routing.Settings{FleetSize: cfg.Exchanges, MaxAttempts: mostTries, ReleaseDelay: release, ResendInterval: resend,
-		WarmUpTime: cfg.WarmUpTime, ColdCapacity: cfg.ColdCapacity, OverloadFactor: fallFactor, OverloadWindow: fallWindow,
+	m := &Mesh{engine: newEngine(), cfg: cfg, linkRand: rand.New(rand.NewPCG(cfg.Seed, 2))}
+	m.result.initialize(&cfg)
+	m.settings = routing.Settings{FleetSize: cfg.Exchanges, MaxAttempts: maxAttempts, ReleaseDelay: releaseDelay, ResendInterval: resendInterval,
+		WarmUpTime: cfg.WarmUpTime, ColdCapacity: cfg.ColdCapacity, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
 		AnswerSlack: answerSlack, CancelAllowed: true}
-	for _, k := range cfg.Classes {
-		m.set.Classes = append(m.set.Classes, routing.Class{GoalTime: k.GoalTime, Deadline: k.Deadline, Hold: k.Hold, Worth: k.Worth, Width: k.Width})
+	for _, class := range cfg.Classes {
+		m.settings.Classes = append(m.settings.Classes, routing.Class{GoalTime: class.GoalTime, Deadline: class.Deadline,
+			Hold: class.Hold, Worth: class.Worth, Width: class.Width})
 	}
 	for i := range cfg.Exchanges {
-		x := &exchange{no: i, groups: make([]*group, cfg.Exchanges), told: make([]bool, cfg.Exchanges), legs: map[*attempt]bool{}}
-		x.proc = processor{e: m.engine, id: uint32(i), speed: func(now time.Duration) float64 { return m.speed(x, now) }}
-		m.xs = append(m.xs, x)
+		exchange := &exchangeState{number: i, groups: make([]*groupState, cfg.Exchanges),
+			reportPending: make([]bool, cfg.Exchanges), holding: map[*attemptState]bool{}}
+		exchange.proc = processor{engine: m.engine, id: uint32(i), speed: func(now time.Duration) float64 { return m.processorSpeed(exchange, now) }}
+		m.exchanges = append(m.exchanges, exchange)
 	}
 	for _, g := range cfg.Groups {
-		h := &group{a: g.A, b: g.B, size: g.Circuits, free: g.Circuits}
-		if m.xs[g.A].groups[g.B] != nil {
-			return nil, fmt.Errorf("mesh: exchanges %d and %d have two groups", g.A, g.B)
+		group := &groupState{a: g.A, b: g.B, size: g.Circuits, free: g.Circuits}
+		if m.exchanges[g.A].groups[g.B] != nil {
+			return nil, fmt.Errorf("mesh: two groups between exchanges %d and %d", g.A, g.B)
 		}
-		m.xs[g.A].groups[g.B], m.xs[g.B].groups[g.A] = h, h
-		m.groups = append(m.groups, h)
+		m.exchanges[g.A].groups[g.B], m.exchanges[g.B].groups[g.A] = group, group
+		m.groups = append(m.groups, group)
 	}
-	for _, x := range m.xs {
-		m.start(x, 0)
+	for _, exchange := range m.exchanges {
+		m.start(exchange, 0)
 	}
-	m.troubles()
-	m.traffic()
+	m.scheduleFaults()
+	m.startTraffic()
 	if cfg.ExtraEventsInterval > 0 {
-		m.again()
+		m.scheduleExtraEvents()
 	}
-	end := cfg.Length + m.playOut()
+	end := cfg.Length + m.playOutTime()
 	for m.err == nil && m.step(end) {
 		if cfg.CheckCircuits {
-			m.conserve()
+			m.checkCircuits()
 		}
 	}
 	if m.err == nil {
-		m.conserve()
+		m.checkCircuits()
 	}
 	if m.err != nil {
 		return nil, fmt.Errorf("mesh: seed %d at %v, event %d: %w", cfg.Seed, m.now, m.steps, m.err)
 	}
-	m.res.finish(m)
-	return &m.res, nil
+	m.result.finish(m)
+	return &m.result, nil
 }
 
-// playOut is how long the last calls may take to be answered.
-func (m *Mesh) playOut() time.Duration {
-	d := time.Duration(0)
-	for _, k := range m.cfg.Classes {
-		d = max(d, time.Duration(float64(k.Deadline)*m.cfg.TryShare))
+// playOutTime returns the maximum time that the last calls take until their final answers.
+func (m *Mesh) playOutTime() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range m.cfg.Classes {
+		longest = max(longest, time.Duration(float64(class.Deadline)*m.cfg.TryShare))
 	}
-	return time.Duration(m.cfg.MaxRedials+1) * (d + m.cfg.Backoff[1])
+	return time.Duration(m.cfg.MaxRedials+1) * (longest + m.cfg.Backoff[1])
 }
 
+// fail ends the run with an error. Only the first error is kept.
 func (m *Mesh) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf(format, args...)
 	}
 }
 
-// speed is how fast a processor works now.
-func (m *Mesh) speed(x *exchange, now time.Duration) float64 {
-	v := 1.0
-	for _, t := range m.cfg.Faults {
-		if t.Slowdown > 0 && now >= t.From && now < t.To && (t.Exchanges == nil || slices.Contains(t.Exchanges, x.no)) {
-			v /= t.Slowdown
+// processorSpeed returns a processor's speed at a time, relative to its full speed.
+func (m *Mesh) processorSpeed(exchange *exchangeState, now time.Duration) float64 {
+	speed := 1.0
+	for _, fault := range m.cfg.Faults {
+		if fault.Slowdown > 0 && now >= fault.From && now < fault.To && (fault.Exchanges == nil || slices.Contains(fault.Exchanges, exchange.number)) {
+			speed /= fault.Slowdown
 		}
 	}
-	if age := now - x.started; x.started > 0 && age < m.cfg.WarmUpTime {
-		v *= m.cfg.ColdCapacity + (1-m.cfg.ColdCapacity)*float64(age)/float64(m.cfg.WarmUpTime)
+	if age := now - exchange.started; exchange.started > 0 && age < m.cfg.WarmUpTime {
+		speed *= m.cfg.ColdCapacity + (1-m.cfg.ColdCapacity)*float64(age)/float64(m.cfg.WarmUpTime)
 	}
-	return v
+	return speed
 }
 
-func host(no int) string { return hosts[no] }
+func hostName(number int) string { return hostNames[number] }
 
-// maxExchanges bounds a mesh.
+// maxExchanges is the largest supported number of exchanges.
 const maxExchanges = 256
 
-var hosts = func() (names [maxExchanges]string) {
+var hostNames = func() (names [maxExchanges]string) {
 	for i := range names {
 		names[i] = fmt.Sprintf("x%03d", i)
 	}
 	return names
 }()
 
-// start brings an exchange up with a decider that knows nothing but its list.
-func (m *Mesh) start(x *exchange, cold time.Duration) {
-	x.up, x.started, x.epoch, x.wakeAt = true, cold, x.epoch+1, 0
-	x.tries = map[string]*try{}
-	s := m.set
-	s.OwnExchange = x.no
+// start starts an exchange with a new policy that knows only the list and the reports on its
+// groups. startedAt is the time from which it warms up; 0: warm already.
+func (m *Mesh) start(exchange *exchangeState, startedAt time.Duration) {
+	exchange.up, exchange.started, exchange.epoch, exchange.wakeAt = true, startedAt, exchange.epoch+1, 0
+	exchange.tries = map[string]*tryState{}
+	settings := m.settings
+	settings.OwnExchange = exchange.number
 	var err error
-	if x.d, err = m.cfg.NewPolicy(s, m.cfg.Seed*1009+uint64(x.no)*31+uint64(x.epoch)); err != nil {
-		m.fail("exchange %d: %w", x.no, err)
+	if exchange.policy, err = m.cfg.NewPolicy(settings, m.cfg.Seed*1009+uint64(exchange.number)*31+uint64(exchange.epoch)); err != nil {
+		m.fail("exchange %d: %w", exchange.number, err)
 		return
 	}
 	list := routing.ListUpdated{Complete: true}
-	for _, o := range m.xs {
-		list.Entries = append(list.Entries, routing.ListEntry{Host: host(o.no), Exchange: o.no, Started: o.started, State: o.state})
+	for _, other := range m.exchanges {
+		list.Entries = append(list.Entries, routing.ListEntry{Host: hostName(other.number), Exchange: other.number,
+			Started: other.started, State: other.state})
 	}
-	m.tell(x, list)
-	for far := range m.xs {
-		m.news(x, far)
+	m.notify(exchange, list)
+	for farEnd := range m.exchanges {
+		m.scheduleReport(exchange, farEnd)
 	}
 	if m.cfg.ExtraEvents != nil {
-		for _, ev := range m.cfg.ExtraEvents(x.no, m.now) {
-			m.tell(x, ev)
+		for _, ev := range m.cfg.ExtraEvents(exchange.number, m.now) {
+			m.notify(exchange, ev)
 		}
 	}
 }
 
-func (m *Mesh) again() {
-	m.after(m.cfg.ExtraEventsInterval, 'A', 0, func() {
-		for _, x := range m.xs {
-			for _, ev := range m.cfg.ExtraEvents(x.no, m.now) {
-				if x.up {
-					m.tell(x, ev)
+// scheduleExtraEvents delivers Config.ExtraEvents to all exchanges at each interval.
+func (m *Mesh) scheduleExtraEvents() {
+	m.scheduleAfter(m.cfg.ExtraEventsInterval, 'A', 0, func() {
+		for _, exchange := range m.exchanges {
+			for _, ev := range m.cfg.ExtraEvents(exchange.number, m.now) {
+				if exchange.up {
+					m.notify(exchange, ev)
 				}
 			}
 		}
-		m.again()
+		m.scheduleExtraEvents()
 	})
 }
 
-// tell brings an event to an exchange's decider as the next thing that happens.
-func (m *Mesh) tell(x *exchange, ev routing.Event) {
-	epoch := x.epoch
-	m.after(0, 'E', uint32(x.no), func() {
-		if x.epoch == epoch && x.up {
-			m.handle(x, ev)
+// notify schedules the delivery of an event to an exchange's policy at the current time.
+func (m *Mesh) notify(exchange *exchangeState, ev routing.Event) {
+	epoch := exchange.epoch
+	m.scheduleAfter(0, 'E', uint32(exchange.number), func() {
+		if exchange.epoch == epoch && exchange.up {
+			m.handle(exchange, ev)
 		}
 	})
 }
 
-// handle lets the decider act. Nothing that it orders comes back to it before it
-// is done: all goes by the queue of events.
-func (m *Mesh) handle(x *exchange, ev routing.Event) {
-	if o, ok := ev.(routing.Offered); ok && x.tries[o.Call] == nil {
-		return // the caller has left meanwhile
+// handle passes an event to the policy and executes the actions that it returns. Their
+// effects reach the policy through the event queue only, never during this call.
+func (m *Mesh) handle(exchange *exchangeState, ev routing.Event) {
+	if o, ok := ev.(routing.Offered); ok && exchange.tries[o.Call] == nil {
+		return // the caller has given up meanwhile
 	}
-	for _, a := range x.d.Handle(m.now, ev) {
+	for _, a := range exchange.policy.Handle(m.now, ev) {
 		switch a := a.(type) {
 		case routing.Send:
-			m.send(x, a)
+			m.send(exchange, a)
 		case routing.Refuse:
-			m.answer(x, a.Call)
+			m.refuse(exchange, a.Call)
 		case routing.Fail:
-			m.answer(x, a.Call)
+			m.refuse(exchange, a.Call)
 		case routing.Cancel:
-			if t := x.tries[a.Call]; t != nil && t.out != nil && t.out.no == a.Attempt && t.out.phase == out {
-				m.giveUp(t.out, routing.Cancelled)
+			if try := exchange.tries[a.Call]; try != nil && try.lastAttempt != nil &&
+				try.lastAttempt.index == a.Attempt && try.lastAttempt.phase == outstanding {
+				m.giveUp(try.lastAttempt, routing.Cancelled)
 			}
 		case routing.SetTimer:
 			at := m.now + a.After
-			epoch := x.epoch
-			m.at(at, 'W', uint32(x.no), func() {
-				if x.epoch == epoch && x.up {
-					m.handle(x, routing.TimerFired{})
+			epoch := exchange.epoch
+			m.scheduleAt(at, 'W', uint32(exchange.number), func() {
+				if exchange.epoch == epoch && exchange.up {
+					m.handle(exchange, routing.TimerFired{})
 				}
 			})
 		}
 	}
 }
 
-// news tells a decider the state of a group, once for all changes of a moment.
-func (m *Mesh) news(x *exchange, far int) {
-	if x.told[far] || far == x.no {
+// scheduleReport sends a policy the state of a group, once for all changes at the same time.
+func (m *Mesh) scheduleReport(exchange *exchangeState, farEnd int) {
+	if exchange.reportPending[farEnd] || farEnd == exchange.number {
 		return
 	}
-	x.told[far] = true
-	m.after(0, 'N', uint32(x.no), func() {
-		x.told[far] = false
-		if x.up {
-			m.handle(x, routing.Reported{Host: host(far), Report: m.report(x, far)})
+	exchange.reportPending[farEnd] = true
+	m.scheduleAfter(0, 'N', uint32(exchange.number), func() {
+		exchange.reportPending[farEnd] = false
+		if exchange.up {
+			m.handle(exchange, routing.Reported{Host: hostName(farEnd), Report: m.report(exchange, farEnd)})
 		}
 	})
 }
 
-func (m *Mesh) report(x *exchange, far int) routing.Report {
-	r := routing.NoReport
-	r.Free, r.Size = 0, 0
-	if g := x.groups[far]; g != nil {
-		r.Free, r.Size = g.free, g.size
+// report returns the free circuits and size of the group to an exchange, both 0 without a
+// group.
+func (m *Mesh) report(exchange *exchangeState, farEnd int) routing.Report {
+	report := routing.NoReport
+	report.Free, report.Size = 0, 0
+	if g := exchange.groups[farEnd]; g != nil {
+		report.Free, report.Size = g.free, g.size
 	}
-	return r
+	return report
 }
 
-// take and give move circuits; both ends hear of it.
-func (m *Mesh) take(a *attempt) {
-	a.holds = true
-	a.g.free -= m.width(a)
-	a.t.x.legs[a] = true
-	m.news(m.xs[a.g.a], a.g.b)
-	m.news(m.xs[a.g.b], a.g.a)
+// takeCircuits seizes the circuits of an attempt and reports to both ends.
+func (m *Mesh) takeCircuits(attempt *attemptState) {
+	attempt.holdsCircuits = true
+	attempt.group.free -= m.width(attempt)
+	attempt.try.exchange.holding[attempt] = true
+	m.scheduleReport(m.exchanges[attempt.group.a], attempt.group.b)
+	m.scheduleReport(m.exchanges[attempt.group.b], attempt.group.a)
 }
 
-func (m *Mesh) give(a *attempt) {
-	if !a.holds {
+// freeCircuits frees the circuits of an attempt, if it holds any, and reports to both ends.
+func (m *Mesh) freeCircuits(attempt *attemptState) {
+	if !attempt.holdsCircuits {
 		return
 	}
-	a.holds = false
-	a.g.free += m.width(a)
-	delete(a.t.x.legs, a)
-	m.news(m.xs[a.g.a], a.g.b)
-	m.news(m.xs[a.g.b], a.g.a)
+	attempt.holdsCircuits = false
+	attempt.group.free += m.width(attempt)
+	delete(attempt.try.exchange.holding, attempt)
+	m.scheduleReport(m.exchanges[attempt.group.a], attempt.group.b)
+	m.scheduleReport(m.exchanges[attempt.group.b], attempt.group.a)
 }
 
-func (m *Mesh) width(a *attempt) int { return m.cfg.Classes[a.t.c.class].Width }
+func (m *Mesh) width(attempt *attemptState) int { return m.cfg.Classes[attempt.try.caller.class].Width }
 
-// conserve counts the circuits of every group anew.
-func (m *Mesh) conserve() {
-	held := map[*group]int{}
-	for _, x := range m.xs {
-		for a := range x.legs {
-			if !a.holds {
-				m.fail("an attempt is listed and holds nothing")
+// checkCircuits fails the run unless the free and held circuits of every group add up to its
+// size.
+func (m *Mesh) checkCircuits() {
+	held := map[*groupState]int{}
+	for _, exchange := range m.exchanges {
+		for attempt := range exchange.holding {
+			if !attempt.holdsCircuits {
+				m.fail("an attempt without circuits is listed as holding some")
 			}
-			held[a.g] += m.width(a)
+			held[attempt.group] += m.width(attempt)
 		}
 	}
 	for _, g := range m.groups {
@@ -455,501 +471,523 @@
 	}
 }
 
-func (m *Mesh) delay() time.Duration { return between(m.wire, m.cfg.LinkDelay) }
+func (m *Mesh) linkDelay() time.Duration { return uniform(m.linkRand, m.cfg.LinkDelay) }
 
-func between(r *rand.Rand, span [2]time.Duration) time.Duration {
+// uniform draws from a uniform distribution, without a draw if the range is empty.
+func uniform(rng *rand.Rand, span [2]time.Duration) time.Duration {
 	if span[1] <= span[0] {
 		return span[0]
 	}
-	return span[0] + time.Duration(r.Float64()*float64(span[1]-span[0]))
+	return span[0] + time.Duration(rng.Float64()*float64(span[1]-span[0]))
 }
 
-func (m *Mesh) work(x *exchange, share float64) time.Duration {
-	return time.Duration(share * float64(m.cfg.SetUpWork[x.no]))
+// workTime returns the time that an exchange needs, at full speed, for work in units of one
+// set-up.
+func (m *Mesh) workTime(exchange *exchangeState, setUps float64) time.Duration {
+	return time.Duration(setUps * float64(m.cfg.SetUpWork[exchange.number]))
 }
 
 // ---- traffic
 
-// traffic plans the arrivals of each flow. Each flow has random numbers of its own,
-// so that what callers want is the same whatever a decider does.
-func (m *Mesh) traffic() {
-	m.peak = m.most()
+// startTraffic schedules the first arrival of each flow. Each flow has its own random number
+// generator, so that what callers request doesn't depend on the policy.
+func (m *Mesh) startTraffic() {
+	m.peakFactor = m.maxRateFactor()
 	m.drift = make([]float64, len(m.cfg.Flows))
 	for i := range m.drift {
 		m.drift[i] = 1
 	}
 	if m.cfg.DriftCV > 0 && m.cfg.DriftInterval[0] > 0 {
-		m.redrift(rand.New(rand.NewPCG(m.cfg.Seed, 3)))
+		m.redrawDrift(rand.New(rand.NewPCG(m.cfg.Seed, 3)))
 	}
-	for i, f := range m.cfg.Flows {
-		if f.Rate > 0 {
-			m.arrive(i, rand.New(rand.NewPCG(m.cfg.Seed, 1000+uint64(i))), 0)
+	for i, flow := range m.cfg.Flows {
+		if flow.Rate > 0 {
+			m.scheduleArrival(i, rand.New(rand.NewPCG(m.cfg.Seed, 1000+uint64(i))), 0)
 		}
 	}
 }
 
-// redrift redraws where calls go; the sum of all rates stays.
-func (m *Mesh) redrift(r *rand.Rand) {
+// redrawDrift redraws the rate factor of every pair of exchanges, scaled so that the sum of
+// all rates stays the same.
+func (m *Mesh) redrawDrift(rng *rand.Rand) {
 	sigma := math.Sqrt(math.Log(1 + m.cfg.DriftCV*m.cfg.DriftCV))
 	pairs := map[[2]int]float64{}
-	was, is := 0.0, 0.0
-	for i, f := range m.cfg.Flows {
-		k := [2]int{f.From, f.To}
-		if _, ok := pairs[k]; !ok {
-			pairs[k] = math.Exp(sigma*r.NormFloat64() - sigma*sigma/2)
+	meanRate, drawnRate := 0.0, 0.0
+	for i, flow := range m.cfg.Flows {
+		pair := [2]int{flow.From, flow.To}
+		if _, ok := pairs[pair]; !ok {
+			pairs[pair] = math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 		}
-		m.drift[i] = pairs[k]
-		was += f.Rate
-		is += f.Rate * pairs[k]
+		m.drift[i] = pairs[pair]
+		meanRate += flow.Rate
+		drawnRate += flow.Rate * pairs[pair]
 	}
 	for i := range m.drift {
-		m.drift[i] *= was / is
+		m.drift[i] *= meanRate / drawnRate
 	}
-	m.after(between(r, m.cfg.DriftInterval), 'D', 0, func() { m.redrift(r) })
+	m.scheduleAfter(uniform(rng, m.cfg.DriftInterval), 'D', 0, func() { m.redrawDrift(rng) })
 }
 
-// driftMost bounds how far drift alone may lift a flow above its mean.
-const driftMost = 6
+// maxDrift bounds the factor by which drift alone raises a flow's rate above its mean.
+const maxDrift = 6
 
-// most is the highest factor that a run may have: arrivals are drawn at that rate
-// and thinned.
-func (m *Mesh) most() float64 {
-	v := 1.0
+// maxRateFactor returns an upper bound of the rate factor. Arrivals are drawn at the
+// corresponding rate and thinned.
+func (m *Mesh) maxRateFactor() float64 {
+	factor := 1.0
 	if m.cfg.DriftCV > 0 {
-		v = driftMost
+		factor = maxDrift
 	}
 	if m.cfg.WavePeriod > 0 {
-		v *= 1 + math.Abs(m.cfg.WaveAmplitude)
+		factor *= 1 + math.Abs(m.cfg.WaveAmplitude)
 	}
 	burst := 1.0
-	for _, t := range m.cfg.Faults {
-		burst = max(burst, t.Burst)
+	for _, fault := range m.cfg.Faults {
+		burst = max(burst, fault.Burst)
 	}
-	return v * burst
+	return factor * burst
 }
 
-// factor is how many times its mean a flow has now.
-func (m *Mesh) factor(i int) float64 {
-	v := min(m.drift[i], driftMost)
+// rateFactor returns a flow's current rate relative to its mean.
+func (m *Mesh) rateFactor(flow int) float64 {
+	factor := min(m.drift[flow], maxDrift)
 	if m.cfg.WavePeriod > 0 {
-		v *= 1 + m.cfg.WaveAmplitude*math.Sin(2*math.Pi*float64(m.now)/float64(m.cfg.WavePeriod))
+		factor *= 1 + m.cfg.WaveAmplitude*math.Sin(2*math.Pi*float64(m.now)/float64(m.cfg.WavePeriod))
 	}
-	for _, t := range m.cfg.Faults {
-		if t.Burst > 0 && m.now >= t.From && m.now < t.To && (t.Exchanges == nil || slices.Contains(t.Exchanges, m.cfg.Flows[i].From)) {
-			v *= t.Burst
+	for _, fault := range m.cfg.Faults {
+		if fault.Burst > 0 && m.now >= fault.From && m.now < fault.To &&
+			(fault.Exchanges == nil || slices.Contains(fault.Exchanges, m.cfg.Flows[flow].From)) {
+			factor *= fault.Burst
 		}
 	}
-	return min(v, m.peak)
+	return min(factor, m.peakFactor)
 }
 
-func (m *Mesh) arrive(i int, r *rand.Rand, n int) {
-	f := m.cfg.Flows[i]
-	wait := time.Duration(r.ExpFloat64() / (f.Rate * m.peak) * float64(time.Second))
-	m.after(wait, 'C', uint32(i), func() {
+// scheduleArrival schedules the next candidate arrival of a flow, and with it those that
+// follow. nextCaller numbers the flow's callers.
+func (m *Mesh) scheduleArrival(flowIndex int, rng *rand.Rand, nextCaller int) {
+	flow := m.cfg.Flows[flowIndex]
+	wait := time.Duration(rng.ExpFloat64() / (flow.Rate * m.peakFactor) * float64(time.Second))
+	m.scheduleAfter(wait, 'C', uint32(flowIndex), func() {
 		if m.now >= m.cfg.Length {
 			return
 		}
-		// All draws of a caller are made here, wanted or not.
-		keep, hold, pause := r.Float64()*m.peak < m.factor(i), r.ExpFloat64(), between(r, m.cfg.Backoff)
-		if keep {
-			k := m.cfg.Classes[f.Class]
-			c := &caller{no: n, class: f.Class, from: f.From, to: f.To, first: m.now, counted: m.now >= m.cfg.CountFrom, pause: pause,
-				hold: time.Duration(hold * float64(k.Hold)), number: strconv.Itoa(i) + "00" + strconv.Itoa(n)}
-			n++
+		// All values are drawn even if the arrival is rejected, so that later draws don't
+		// depend on it.
+		accepted, hold, redialDelay := rng.Float64()*m.peakFactor < m.rateFactor(flowIndex), rng.ExpFloat64(), uniform(rng, m.cfg.Backoff)
+		if accepted {
+			class := m.cfg.Classes[flow.Class]
+			caller := &callerState{index: nextCaller, class: flow.Class, from: flow.From, to: flow.To, firstTryAt: m.now,
+				counted: m.now >= m.cfg.CountFrom, redialDelay: redialDelay,
+				hold: time.Duration(hold * float64(class.Hold)), number: strconv.Itoa(flowIndex) + "00" + strconv.Itoa(nextCaller)}
+			nextCaller++
 			if m.cfg.OnFirstTry != nil {
-				m.cfg.OnFirstTry(m.now, c.class, c.from, c.to)
+				m.cfg.OnFirstTry(m.now, caller.class, caller.from, caller.to)
 			}
-			m.res.offer(c, k)
-			m.dial(c)
+			m.result.recordOffered(caller, class)
+			m.dial(caller)
 		}
-		m.arrive(i, r, n)
+		m.scheduleArrival(flowIndex, rng, nextCaller)
 	})
 }
 
-// dial is one try of a caller.
-func (m *Mesh) dial(c *caller) {
-	x := m.xs[c.from]
-	c.tries++
-	m.res.Tries++
-	if !x.up {
-		m.redial(c)
+// dial makes one try of a caller.
+func (m *Mesh) dial(caller *callerState) {
+	exchange := m.exchanges[caller.from]
+	caller.tries++
+	m.result.Tries++
+	if !exchange.up {
+		m.redial(caller)
 		return
 	}
-	t := &try{x: x, c: c, owed: true, expires: m.now + time.Duration(m.cfg.TryShare*float64(m.cfg.Classes[c.class].Deadline))}
-	m.offer(t, false)
-	m.at(t.expires, 'X', uint32(c.no), func() {
-		if t.owed {
-			m.res.GivenUp++
-			m.withdraw(t)
-			m.redial(c)
+	try := &tryState{exchange: exchange, caller: caller, pending: true,
+		expires: m.now + time.Duration(m.cfg.TryShare*float64(m.cfg.Classes[caller.class].Deadline))}
+	m.offer(try, false)
+	m.scheduleAt(try.expires, 'X', uint32(caller.index), func() {
+		if try.pending {
+			m.result.GivenUp++
+			m.withdraw(try)
+			m.redial(caller)
 		}
 	})
 }
 
-// offer brings a try to its decider; a look costs the processor work.
-func (m *Mesh) offer(t *try, transit bool) {
-	m.keys++
-	t.key = "t/" + strconv.Itoa(m.keys)
-	t.x.tries[t.key] = t
-	t.x.proc.add(m.work(t.x, m.cfg.Work.Lookup), false, nil)
-	c := t.c
-	m.tell(t.x, routing.Offered{Call: t.key, Class: c.class, Number: c.number, Dest: c.to,
-		Width: m.cfg.Classes[c.class].Width, Expires: t.expires, Transit: transit})
+// offer offers a try to its exchange's policy. The lookup takes processor time.
+func (m *Mesh) offer(try *tryState, transit bool) {
+	m.keyCount++
+	try.key = "t/" + strconv.Itoa(m.keyCount)
+	try.exchange.tries[try.key] = try
+	try.exchange.proc.enqueue(m.workTime(try.exchange, m.cfg.Work.Lookup), false, nil)
+	caller := try.caller
+	m.notify(try.exchange, routing.Offered{Call: try.key, Class: caller.class, Number: caller.number, Dest: caller.to,
+		Width: m.cfg.Classes[caller.class].Width, Expires: try.expires, Transit: transit})
 }
 
-func (m *Mesh) redial(c *caller) {
-	if c.tries > m.cfg.MaxRedials || c.stood {
+// redial schedules the caller's next try, unless the redials are used up.
+func (m *Mesh) redial(caller *callerState) {
+	if caller.tries > m.cfg.MaxRedials || caller.established {
 		return
 	}
-	m.after(c.pause, 'R', uint32(c.no), func() { m.dial(c) })
+	m.scheduleAfter(caller.redialDelay, 'R', uint32(caller.index), func() { m.dial(caller) })
 }
 
-// withdraw takes a try back: its caller left, or the exchange before gave it up.
-func (m *Mesh) withdraw(t *try) {
-	if !t.owed {
+// withdraw cancels a try whose caller, or whose previous exchange, has given up.
+func (m *Mesh) withdraw(try *tryState) {
+	if !try.pending {
 		return
 	}
-	t.owed = false
-	m.tell(t.x, routing.Withdrawn{Call: t.key})
-	if t.out != nil && t.out.phase == out {
-		m.giveUp(t.out, routing.Cancelled)
+	try.pending = false
+	m.notify(try.exchange, routing.Withdrawn{Call: try.key})
+	if try.lastAttempt != nil && try.lastAttempt.phase == outstanding {
+		m.giveUp(try.lastAttempt, routing.Cancelled)
 	}
-	m.forget(t)
+	m.dropIfDone(try)
 }
 
-func (m *Mesh) forget(t *try) {
-	if !t.owed && (t.out == nil || t.out.phase == givenUp || t.out.phase == ended) {
-		delete(t.x.tries, t.key)
+// dropIfDone removes a try that has its final answer and no attempt or call in progress.
+func (m *Mesh) dropIfDone(try *tryState) {
+	if !try.pending && (try.lastAttempt == nil || try.lastAttempt.phase == givenUp || try.lastAttempt.phase == ended) {
+		delete(try.exchange.tries, try.key)
 	}
 }
 
-// answer is a decider's final answer: turned away or failed.
-func (m *Mesh) answer(x *exchange, key string) {
-	t := x.tries[key]
-	if t == nil || !t.owed {
-		return // the caller left in the same moment
+// refuse executes Refuse and Fail: the final answer to a call that was not established.
+func (m *Mesh) refuse(exchange *exchangeState, key string) {
+	try := exchange.tries[key]
+	if try == nil || !try.pending {
+		return // the caller gave up at the same time
 	}
-	if t.out != nil && t.out.phase == out {
-		m.fail("exchange %d: final answer for %s with an attempt out", x.no, key)
+	if try.lastAttempt != nil && try.lastAttempt.phase == outstanding {
+		m.fail("exchange %d: final answer for %s with an attempt outstanding", exchange.number, key)
 		return
 	}
-	if m.now > t.expires+answerSlack {
-		m.fail("exchange %d: final answer for %s too late", x.no, key)
+	if m.now > try.expires+answerSlack {
+		m.fail("exchange %d: final answer for %s too late", exchange.number, key)
 	}
-	t.owed = false
-	m.forget(t)
-	if a := t.parent; a != nil {
+	try.pending = false
+	m.dropIfDone(try)
+	if attempt := try.parent; attempt != nil {
 		cause := routing.CauseTurnedBack
-		if t.beyond {
+		if try.processorFull {
 			cause = routing.CauseDestinationFull
 		}
-		m.res.TurnedBack++
-		m.after(m.delay(), 'B', uint32(x.no), func() { m.settle(a, routing.Refused, cause) })
+		m.result.TurnedBack++
+		m.scheduleAfter(m.linkDelay(), 'B', uint32(exchange.number), func() { m.endAttempt(attempt, routing.Refused, cause) })
 		return
 	}
-	m.res.Refused++
-	m.redial(t.c)
+	m.result.Refused++
+	m.redial(try.caller)
 }
 
 // ---- set-ups
 
-// send starts an attempt. What the rules forbid ends the run with an error.
-func (m *Mesh) send(x *exchange, s routing.Send) {
-	t := x.tries[s.Call]
-	to := slices.IndexFunc(m.xs, func(o *exchange) bool { return host(o.no) == s.Host })
-	if t == nil || !t.owed {
-		return // over in the same moment
+// send starts an attempt. An action that breaks the rules fails the run.
+func (m *Mesh) send(exchange *exchangeState, action routing.Send) {
+	try := exchange.tries[action.Call]
+	to := slices.IndexFunc(m.exchanges, func(other *exchangeState) bool { return hostName(other.number) == action.Host })
+	if try == nil || !try.pending {
+		return // ended at the same time
 	}
 	switch {
-	case to < 0 || to == x.no:
-		m.fail("exchange %d sends to %q", x.no, s.Host)
-	case t.parent != nil && to != t.c.to:
-		m.fail("exchange %d sends a call in transit to exchange %d", x.no, to)
-	case t.out != nil && t.out.phase == out:
-		m.fail("exchange %d: two attempts out for %s", x.no, s.Call)
-	case m.now < t.rest:
-		m.fail("exchange %d: %s sent within the rest", x.no, s.Call)
+	case to < 0 || to == exchange.number:
+		m.fail("exchange %d sends to %q", exchange.number, action.Host)
+	case try.parent != nil && to != try.caller.to:
+		m.fail("exchange %d sends a call in transit to exchange %d", exchange.number, to)
+	case try.lastAttempt != nil && try.lastAttempt.phase == outstanding:
+		m.fail("exchange %d: two attempts outstanding for %s", exchange.number, action.Call)
+	case m.now < try.notBefore:
+		m.fail("exchange %d: %s sent before its retry time", exchange.number, action.Call)
 	}
 	if m.err != nil {
 		return
 	}
-	a := &attempt{t: t, no: t.sent, to: to, g: x.groups[to], sentAt: m.now}
-	t.sent++
-	t.out = a
-	m.res.Sends++
-	k := m.width(a)
-	if t.sent > mostTries || a.g == nil || a.g.free < k {
-		m.after(0, 'U', uint32(x.no), func() { m.settle(a, routing.NotSent, routing.CauseNoCircuit) })
+	attempt := &attemptState{try: try, index: try.sends, to: to, group: exchange.groups[to], sentAt: m.now}
+	try.sends++
+	try.lastAttempt = attempt
+	m.result.Sends++
+	width := m.width(attempt)
+	if try.sends > maxAttempts || attempt.group == nil || attempt.group.free < width {
+		m.scheduleAfter(0, 'U', uint32(exchange.number), func() { m.endAttempt(attempt, routing.NotSent, routing.CauseNoCircuit) })
 		return
 	}
-	if to != t.c.to {
-		m.res.TandemSends++
+	if to != try.caller.to {
+		m.result.TandemSends++
 	}
-	m.take(a)
-	limit := t.expires - m.now
-	if s.Timeout > 0 {
-		limit = min(limit, s.Timeout)
+	m.takeCircuits(attempt)
+	limit := try.expires - m.now
+	if action.Timeout > 0 {
+		limit = min(limit, action.Timeout)
 	}
-	m.after(limit, 'T', uint32(x.no), func() { m.giveUp(a, routing.TimedOut) })
-	m.repeat(a, resend)
-	x.proc.add(m.work(x, 1), false, func() {
-		if a.phase == out {
-			m.after(m.delay(), 'S', uint32(to), func() { m.reach(a) })
+	m.scheduleAfter(limit, 'T', uint32(exchange.number), func() { m.giveUp(attempt, routing.TimedOut) })
+	m.scheduleRepeat(attempt, resendInterval)
+	exchange.proc.enqueue(m.workTime(exchange, 1), false, func() {
+		if attempt.phase == outstanding {
+			m.scheduleAfter(m.linkDelay(), 'S', uint32(to), func() { m.receiveSetUp(attempt) })
 		}
 	})
 }
 
-// repeat sends a waiting set-up again, at doubling gaps, as work for the far end.
-func (m *Mesh) repeat(a *attempt, gap time.Duration) {
-	m.after(gap, 'G', uint32(a.to), func() {
-		if a.phase != out || a.answered {
+// scheduleRepeat repeats an unanswered set-up at doubling intervals. A repeat only loads the
+// far end's processor.
+func (m *Mesh) scheduleRepeat(attempt *attemptState, interval time.Duration) {
+	m.scheduleAfter(interval, 'G', uint32(attempt.to), func() {
+		if attempt.phase != outstanding || attempt.answered {
 			return
 		}
-		if far := m.xs[a.to]; far.up {
-			m.res.Repeats++
-			far.proc.add(m.work(far, m.cfg.Work.Repeat), false, nil)
+		if farEnd := m.exchanges[attempt.to]; farEnd.up {
+			m.result.Repeats++
+			farEnd.proc.enqueue(m.workTime(farEnd, m.cfg.Work.Repeat), false, nil)
 		}
-		m.repeat(a, 2*gap)
+		m.scheduleRepeat(attempt, 2*interval)
 	})
 }
 
-// reach is a set-up's arrival at the far end.
-func (m *Mesh) reach(a *attempt) {
-	if a.phase != out {
+// receiveSetUp handles a set-up's arrival at the far end.
+func (m *Mesh) receiveSetUp(attempt *attemptState) {
+	if attempt.phase != outstanding {
 		return
 	}
-	x := m.xs[a.to]
-	if !x.up {
-		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.NotReached, routing.CauseNone) })
+	exchange := m.exchanges[attempt.to]
+	if !exchange.up {
+		m.scheduleAfter(m.linkDelay(), 'B', uint32(attempt.to), func() { m.endAttempt(attempt, routing.NotReached, routing.CauseNone) })
 		return
 	}
-	m.cold(x)
-	if x.proc.wait() > m.cfg.MaxWait[x.no] {
-		m.res.ProcessorFull++
-		x.proc.add(m.work(x, m.cfg.Work.Reject), false, nil)
-		m.after(m.delay(), 'B', uint32(a.to), func() { m.settle(a, routing.Refused, routing.CauseProcessorFull) })
+	m.countColdLoad(exchange)
+	if exchange.proc.expectedWait() > m.cfg.MaxWait[exchange.number] {
+		m.result.ProcessorFull++
+		exchange.proc.enqueue(m.workTime(exchange, m.cfg.Work.Reject), false, nil)
+		m.scheduleAfter(m.linkDelay(), 'B', uint32(attempt.to), func() { m.endAttempt(attempt, routing.Refused, routing.CauseProcessorFull) })
 		return
 	}
-	x.proc.add(m.work(x, 1), false, func() {
-		if a.phase != out { // given up meanwhile: the work was for nothing
-			m.res.Wasted++
+	exchange.proc.enqueue(m.workTime(exchange, 1), false, func() {
+		if attempt.phase != outstanding { // given up meanwhile: the work was wasted
+			m.result.Wasted++
 			return
 		}
-		if a.to != a.t.c.to {
-			a.child = &try{x: x, c: a.t.c, owed: true, expires: a.t.expires, parent: a}
-			m.offer(a.child, true)
+		if attempt.to != attempt.try.caller.to {
+			attempt.child = &tryState{exchange: exchange, caller: attempt.try.caller, pending: true, expires: attempt.try.expires, parent: attempt}
+			m.offer(attempt.child, true)
 			return
 		}
-		a.answered = true
-		x.proc.add(m.work(x, m.cfg.Work.Answer), true, func() { m.back(a) })
+		attempt.answered = true
+		exchange.proc.enqueue(m.workTime(exchange, m.cfg.Work.Answer), true, func() { m.returnAnswer(attempt) })
 	})
 }
 
-// back takes an answer one leg back toward the caller.
-func (m *Mesh) back(a *attempt) {
-	m.after(m.delay(), 'K', uint32(a.t.x.no), func() {
-		if a.phase != out || !a.t.x.up {
+// returnAnswer sends an answer one leg back toward the caller.
+func (m *Mesh) returnAnswer(attempt *attemptState) {
+	m.scheduleAfter(m.linkDelay(), 'K', uint32(attempt.try.exchange.number), func() {
+		if attempt.phase != outstanding || !attempt.try.exchange.up {
 			return
 		}
-		a.t.x.proc.add(m.work(a.t.x, m.cfg.Work.Answer), true, func() { m.stand(a) })
+		attempt.try.exchange.proc.enqueue(m.workTime(attempt.try.exchange, m.cfg.Work.Answer), true, func() { m.establish(attempt) })
 	})
 }
 
-// stand is the answer's arrival at the exchange that sent the set-up.
-func (m *Mesh) stand(a *attempt) {
-	if a.phase != out {
+// establish handles an answer's arrival at the exchange that sent the set-up.
+func (m *Mesh) establish(attempt *attemptState) {
+	if attempt.phase != outstanding {
 		return
 	}
-	t := a.t
-	a.phase = stands
-	t.owed = false
-	m.tell(t.x, routing.Established{Call: t.key, Attempt: a.no, Delay: m.now - a.sentAt})
-	if p := t.parent; p != nil {
-		p.answered = true
-		m.back(p)
+	try := attempt.try
+	attempt.phase = established
+	try.pending = false
+	m.notify(try.exchange, routing.Established{Call: try.key, Attempt: attempt.index, Delay: m.now - attempt.sentAt})
+	if parent := try.parent; parent != nil {
+		parent.answered = true
+		m.returnAnswer(parent)
 		return
 	}
-	c := t.c
-	c.stood = true
-	m.res.stood(c, m.cfg.Classes[c.class], m.now, a.to != c.to)
-	m.after(c.hold, 'H', uint32(c.no), func() { m.hangUp(a) })
+	caller := try.caller
+	caller.established = true
+	m.result.recordEstablished(caller, m.cfg.Classes[caller.class], m.now, attempt.to != caller.to)
+	m.scheduleAfter(caller.hold, 'H', uint32(caller.index), func() { m.hangUp(attempt) })
 }
 
-// hangUp ends a standing call leg by leg; each exchange on the way has work with
-// it, behind its set-ups, and the circuits toward the next are free after that.
-func (m *Mesh) hangUp(a *attempt) {
-	if a.phase != stands {
+// hangUp ends an established call leg by leg. Each exchange on the path processes the
+// release, after its waiting set-ups, and only then frees the circuits of the next leg.
+func (m *Mesh) hangUp(attempt *attemptState) {
+	if attempt.phase != established {
 		return
 	}
-	a.phase = ended
-	if last := m.xs[a.to]; a.child == nil && last.up {
-		last.proc.add(m.work(last, m.cfg.Work.Release), true, nil)
+	attempt.phase = ended
+	if last := m.exchanges[attempt.to]; attempt.child == nil && last.up {
+		last.proc.enqueue(m.workTime(last, m.cfg.Work.Release), true, nil)
 	}
-	a.t.x.proc.add(m.work(a.t.x, m.cfg.Work.Release), true, func() {
-		m.give(a)
-		m.tell(a.t.x, routing.AttemptEnded{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Ended, CallEnded: true,
-			Delay: m.now - a.sentAt, Report: m.report(a.t.x, a.to)})
-		delete(a.t.x.tries, a.t.key)
+	attempt.try.exchange.proc.enqueue(m.workTime(attempt.try.exchange, m.cfg.Work.Release), true, func() {
+		m.freeCircuits(attempt)
+		m.notify(attempt.try.exchange, routing.AttemptEnded{Call: attempt.try.key, Attempt: attempt.index, Host: hostName(attempt.to),
+			Result: routing.Ended, CallEnded: true,
+			Delay: m.now - attempt.sentAt, Report: m.report(attempt.try.exchange, attempt.to)})
+		delete(attempt.try.exchange.tries, attempt.try.key)
 	})
-	if a.child != nil && a.child.out != nil {
-		m.hangUp(a.child.out)
+	if attempt.child != nil && attempt.child.lastAttempt != nil {
+		m.hangUp(attempt.child.lastAttempt)
 	}
 }
 
-// settle ends an attempt that the far end, or the own exchange, sent back.
-func (m *Mesh) settle(a *attempt, r routing.Result, cause routing.Cause) {
-	if a.phase != out {
+// endAttempt ends an attempt that the far end, or the own exchange, refused.
+func (m *Mesh) endAttempt(attempt *attemptState, result routing.Result, cause routing.Cause) {
+	if attempt.phase != outstanding {
 		return
 	}
-	a.phase = ended
-	m.give(a)
-	m.settled(a, r, cause)
+	attempt.phase = ended
+	m.freeCircuits(attempt)
+	m.notifyEnded(attempt, result, cause)
 }
 
-func (m *Mesh) settled(a *attempt, r routing.Result, cause routing.Cause) {
-	t := a.t
-	t.beyond = cause == routing.CauseProcessorFull
-	m.tell(t.x, routing.AttemptEnded{Call: t.key, Attempt: a.no, Host: host(a.to), Result: r, Cause: cause, CallEnded: !t.owed,
-		Delay: m.now - a.sentAt, Report: m.report(t.x, a.to)})
-	m.forget(t)
+// notifyEnded notifies the policy of the end of an attempt.
+func (m *Mesh) notifyEnded(attempt *attemptState, result routing.Result, cause routing.Cause) {
+	try := attempt.try
+	try.processorFull = cause == routing.CauseProcessorFull
+	m.notify(try.exchange, routing.AttemptEnded{Call: try.key, Attempt: attempt.index, Host: hostName(attempt.to),
+		Result: result, Cause: cause, CallEnded: !try.pending,
+		Delay: m.now - attempt.sentAt, Report: m.report(try.exchange, attempt.to)})
+	m.dropIfDone(try)
 }
 
-// giveUp ends an attempt from the sending end. The far end hears of it a link's
-// delay later; the circuits stay taken until the release.
-func (m *Mesh) giveUp(a *attempt, r routing.Result) {
-	if a.phase != out {
+// giveUp ends an attempt at the sending end. The far end is notified after the link delay;
+// the circuits stay in use until the release.
+func (m *Mesh) giveUp(attempt *attemptState, result routing.Result) {
+	if attempt.phase != outstanding {
 		return
 	}
-	a.phase = givenUp
-	a.t.rest = m.now + release
-	if r == routing.TimedOut {
-		m.res.TimedOut++
-	}
-	m.after(release, 'L', uint32(a.to), func() { m.give(a) })
-	if t := a.child; t != nil {
-		m.after(m.delay(), 'V', uint32(a.to), func() {
-			m.withdraw(t)
-			if t.out != nil && t.out.phase == stands { // its answer was on the way
-				m.hangUp(t.out)
+	attempt.phase = givenUp
+	attempt.try.notBefore = m.now + releaseDelay
+	if result == routing.TimedOut {
+		m.result.TimedOut++
+	}
+	m.scheduleAfter(releaseDelay, 'L', uint32(attempt.to), func() { m.freeCircuits(attempt) })
+	if try := attempt.child; try != nil {
+		m.scheduleAfter(m.linkDelay(), 'V', uint32(attempt.to), func() {
+			m.withdraw(try)
+			if try.lastAttempt != nil && try.lastAttempt.phase == established { // its answer was in flight
+				m.hangUp(try.lastAttempt)
 			}
 		})
 	}
-	m.settled(a, r, routing.CauseNone)
+	m.notifyEnded(attempt, result, routing.CauseNone)
 }
 
-// ---- troubles
+// ---- faults
 
-func (m *Mesh) troubles() {
-	for _, t := range m.cfg.Faults {
-		if !t.Down {
+// scheduleFaults schedules the crashes and restarts of exchanges.
+func (m *Mesh) scheduleFaults() {
+	for _, fault := range m.cfg.Faults {
+		if !fault.Down {
 			continue
 		}
-		for _, no := range t.Exchanges {
-			if no < 0 || no >= len(m.xs) {
-				m.fail("troubles: no exchange %d", no)
+		for _, number := range fault.Exchanges {
+			if number < 0 || number >= len(m.exchanges) {
+				m.fail("faults: no exchange %d", number)
 				return
 			}
-			x := m.xs[no]
-			m.at(t.From, 'd', uint32(no), func() { m.down(x) })
-			m.at(t.To, 'u', uint32(no), func() {
-				x.state = routing.Ready
-				m.start(x, m.now)
-				m.list(x)
+			exchange := m.exchanges[number]
+			m.scheduleAt(fault.From, 'd', uint32(number), func() { m.crash(exchange) })
+			m.scheduleAt(fault.To, 'u', uint32(number), func() {
+				exchange.state = routing.Ready
+				m.start(exchange, m.now)
+				m.sendListUpdate(exchange)
 			})
 		}
 	}
 }
 
-// down crashes an exchange: all that touches it is cut.
-func (m *Mesh) down(x *exchange) {
-	x.up, x.state = false, routing.Removed
-	x.proc.clear()
-	for _, o := range m.xs {
-		var legs []*attempt // a map's order must not decide
-		for a := range o.legs {
-			legs = append(legs, a)
+// crash takes an exchange down and ends all attempts and calls through it.
+func (m *Mesh) crash(exchange *exchangeState) {
+	exchange.up, exchange.state = false, routing.Removed
+	exchange.proc.discardAll()
+	for _, other := range m.exchanges {
+		var attempts []*attemptState // sorted, because the order of a map would make runs differ
+		for attempt := range other.holding {
+			attempts = append(attempts, attempt)
 		}
-		slices.SortFunc(legs, func(a, b *attempt) int {
-			return cmp.Or(cmp.Compare(a.t.key, b.t.key), a.no-b.no)
+		slices.SortFunc(attempts, func(a, b *attemptState) int {
+			return cmp.Or(cmp.Compare(a.try.key, b.try.key), a.index-b.index)
 		})
-		for _, a := range legs {
-			through := a.child != nil && a.child.out != nil && a.child.out.holds && (a.child.out.t.x == x || a.child.out.to == x.no)
-			after := a.t.parent != nil && a.t.parent.t.x == x
-			if a.t.x != x && a.to != x.no && !through && !after {
+		for _, attempt := range attempts {
+			onwardFails := attempt.child != nil && attempt.child.lastAttempt != nil && attempt.child.lastAttempt.holdsCircuits &&
+				(attempt.child.lastAttempt.try.exchange == exchange || attempt.child.lastAttempt.to == exchange.number)
+			parentFails := attempt.try.parent != nil && attempt.try.parent.try.exchange == exchange
+			if attempt.try.exchange != exchange && attempt.to != exchange.number && !onwardFails && !parentFails {
 				continue
 			}
-			switch a.phase {
-			case out:
-				if a.to == x.no {
-					m.settle(a, routing.Reset, routing.CauseNone)
-					a.t.rest = m.now + release
-				} else if a.t.x == x {
-					a.phase = givenUp
-					m.give(a)
-					if t := a.child; t != nil {
-						m.withdraw(t)
+			switch attempt.phase {
+			case outstanding:
+				if attempt.to == exchange.number {
+					m.endAttempt(attempt, routing.Reset, routing.CauseNone)
+					attempt.try.notBefore = m.now + releaseDelay
+				} else if attempt.try.exchange == exchange {
+					attempt.phase = givenUp
+					m.freeCircuits(attempt)
+					if try := attempt.child; try != nil {
+						m.withdraw(try)
 					}
 				}
-			case stands:
-				a.phase = ended
-				m.give(a)
-				if a.t.parent == nil {
-					m.res.cut(a.t.c, m.cfg.Classes[a.t.c.class])
+			case established:
+				attempt.phase = ended
+				m.freeCircuits(attempt)
+				if attempt.try.parent == nil {
+					m.result.recordCut(attempt.try.caller, m.cfg.Classes[attempt.try.caller.class])
 				}
-				m.tell(a.t.x, routing.AttemptEnded{Call: a.t.key, Attempt: a.no, Host: host(a.to), Result: routing.Reset, CallEnded: true, Report: routing.NoReport})
-				delete(a.t.x.tries, a.t.key)
+				m.notify(attempt.try.exchange, routing.AttemptEnded{Call: attempt.try.key, Attempt: attempt.index, Host: hostName(attempt.to),
+					Result: routing.Reset, CallEnded: true, Report: routing.NoReport})
+				delete(attempt.try.exchange.tries, attempt.try.key)
 			default:
-				m.give(a)
+				m.freeCircuits(attempt)
 			}
 		}
 	}
 	var keys []string
-	for k := range x.tries {
+	for k := range exchange.tries {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
-		t := x.tries[k]
-		if !t.owed {
+		try := exchange.tries[k]
+		if !try.pending {
 			continue
 		}
-		t.owed = false
-		if p := t.parent; p != nil {
-			m.settle(p, routing.Reset, routing.CauseNone)
-			p.t.rest = m.now + release
+		try.pending = false
+		if parent := try.parent; parent != nil {
+			m.endAttempt(parent, routing.Reset, routing.CauseNone)
+			parent.try.notBefore = m.now + releaseDelay
 		} else {
-			m.redial(t.c) // its caller sees the line go dead
+			m.redial(try.caller) // the caller notices that the line is dead
 		}
 	}
-	x.tries = map[string]*try{}
-	m.list(x)
+	exchange.tries = map[string]*tryState{}
+	m.sendListUpdate(exchange)
 }
 
-// list tells every other decider of an exchange's state, late.
-func (m *Mesh) list(x *exchange) {
-	e := routing.ListEntry{Host: host(x.no), Exchange: x.no, Started: x.started, State: x.state}
-	for _, o := range m.xs {
-		if o != x {
-			m.after(between(m.wire, m.cfg.ListDelay), 'I', uint32(o.no), func() {
-				if o.up {
-					m.handle(o, routing.ListUpdated{Entries: []routing.ListEntry{e}})
+// sendListUpdate sends an exchange's state to the policies of all others, after the delay of
+// the list.
+func (m *Mesh) sendListUpdate(exchange *exchangeState) {
+	entry := routing.ListEntry{Host: hostName(exchange.number), Exchange: exchange.number, Started: exchange.started, State: exchange.state}
+	for _, other := range m.exchanges {
+		if other != exchange {
+			m.scheduleAfter(uniform(m.linkRand, m.cfg.ListDelay), 'I', uint32(other.number), func() {
+				if other.up {
+					m.handle(other, routing.ListUpdated{Entries: []routing.ListEntry{entry}})
 				}
 			})
 		}
 	}
 }
 
-// cold keeps the account of the rule that no cold processor is pushed over.
-func (m *Mesh) cold(x *exchange) {
-	if x.started == 0 || m.now-x.started >= m.cfg.WarmUpTime {
+// countColdLoad counts a set-up at a processor that is still warming up, and counts an
+// overload if the processor receives more than overloadFactor times its capacity over
+// overloadWindow.
+func (m *Mesh) countColdLoad(exchange *exchangeState) {
+	if exchange.started == 0 || m.now-exchange.started >= m.cfg.WarmUpTime {
 		return
 	}
-	perSec := fallFactor * m.speed(x, m.now) * float64(time.Second) / float64(m.cfg.SetUpWork[x.no])
-	window := perSec * fallWindow.Seconds()
-	x.budget = min(window, x.budget+perSec*(m.now-x.budgAt).Seconds())
-	x.budgAt = m.now
-	if x.budget--; x.budget < 0 {
-		m.res.ColdOverloads++
-		x.budget = window
+	setUpsPerSecond := overloadFactor * m.processorSpeed(exchange, m.now) * float64(time.Second) / float64(m.cfg.SetUpWork[exchange.number])
+	maxBudget := setUpsPerSecond * overloadWindow.Seconds()
+	exchange.coldBudget = min(maxBudget, exchange.coldBudget+setUpsPerSecond*(m.now-exchange.coldBudgetAt).Seconds())
+	exchange.coldBudgetAt = m.now
+	if exchange.coldBudget--; exchange.coldBudget < 0 {
+		m.result.ColdOverloads++
+		exchange.coldBudget = maxBudget
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -15,175 +15,178 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// lossy is one group with nothing but its circuits in the way.
-func lossy(circuits int, classes []Class, rates []float64) Config {
-	c := Config{Seed: 1, Length: 50 * time.Minute, CountFrom: 2 * time.Minute, Exchanges: 2, NewPolicy: NewDirectPolicy, Classes: classes,
+// singleGroup returns a config with one group, in which calls fail for lack of circuits only.
+func singleGroup(circuits int, classes []Class, rates []float64) Config {
+	cfg := Config{Seed: 1, Length: 50 * time.Minute, CountFrom: 2 * time.Minute, Exchanges: 2, NewPolicy: NewDirectPolicy, Classes: classes,
 		Groups: []Group{{0, 1, circuits}}, SetUpWork: []time.Duration{time.Nanosecond, time.Nanosecond},
 		MaxWait: []time.Duration{time.Second, time.Second}, TryShare: 1}
-	for k, r := range rates {
-		c.Flows = append(c.Flows, Flow{k, 0, 1, r / 2}, Flow{k, 1, 0, r / 2})
+	for class, rate := range rates {
+		cfg.Flows = append(cfg.Flows, Flow{class, 0, 1, rate / 2}, Flow{class, 1, 0, rate / 2})
 	}
-	return c
+	return cfg
 }
 
-func blocking(t *testing.T, c Config, seeds int) []float64 {
-	each := make([][]float64, seeds)
-	var all errgroup.Group
-	all.SetLimit(runtime.GOMAXPROCS(0))
-	for s := range seeds {
-		mine := c
-		mine.Seed = uint64(s + 1)
-		all.Go(func() error {
-			r, err := Run(mine)
+// meanBlocking returns the share of lost calls by class, as a mean over seeds.
+func meanBlocking(t *testing.T, cfg Config, seeds int) []float64 {
+	results := make([][]float64, seeds)
+	var workers errgroup.Group
+	workers.SetLimit(runtime.GOMAXPROCS(0))
+	for i := range seeds {
+		seeded := cfg
+		seeded.Seed = uint64(i + 1)
+		workers.Go(func() error {
+			r, err := Run(seeded)
 			if err == nil {
-				each[s] = r.ServiceByClass
+				results[i] = r.ServiceByClass
 			}
 			return err
 		})
 	}
-	if err := all.Wait(); err != nil {
+	if err := workers.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	sum := make([]float64, len(c.Classes))
-	for _, by := range each {
-		for k, v := range by {
-			sum[k] += (1 - v) / float64(seeds)
+	mean := make([]float64, len(cfg.Classes))
+	for _, byClass := range results {
+		for k, v := range byClass {
+			mean[k] += (1 - v) / float64(seeds)
 		}
 	}
-	return sum
+	return mean
 }
 
-// Erlang's B and Kaufman and Roberts' formula hold exactly for one group with
-// Poisson calls, no redials and no delays: within 2%.
+// The Erlang B and the Kaufman-Roberts formula are exact for one group with Poisson arrivals
+// and without redials and delays. The emulation must match them within 2%.
 func TestBlockingIsErlangs(t *testing.T) {
 	class := func(w int) Class {
 		return Class{Name: "c", Width: w, Hold: time.Second, GoalTime: 10 * time.Second, Deadline: 10 * time.Second, Worth: 1}
 	}
-	for _, x := range []struct {
-		n     int
-		load  float64
-		seeds int
+	for _, testCase := range []struct {
+		circuits int
+		load     float64
+		seeds    int
 	}{{5, 4, 30}, {20, 18, 10}, {40, 44, 4}} {
-		got := blocking(t, lossy(x.n, []Class{class(1)}, []float64{x.load}), x.seeds)[0]
-		if want := plan.ErlangB(x.n, x.load); math.Abs(got-want) > 0.02*want {
-			t.Errorf("%d circuits, %v erlangs: %v, by Erlang %v", x.n, x.load, got, want)
+		got := meanBlocking(t, singleGroup(testCase.circuits, []Class{class(1)}, []float64{testCase.load}), testCase.seeds)[0]
+		if want := plan.ErlangB(testCase.circuits, testCase.load); math.Abs(got-want) > 0.02*want {
+			t.Errorf("%d circuits, %v erlangs: %v, want %v by Erlang B", testCase.circuits, testCase.load, got, want)
 		}
 	}
-	got := blocking(t, lossy(30, []Class{class(1), class(4)}, []float64{12, 3}), 40)
+	got := meanBlocking(t, singleGroup(30, []Class{class(1), class(4)}, []float64{12, 3}), 40)
 	for k, want := range plan.KaufmanRoberts(30, []plan.TrafficStream{{Width: 1, Load: 12}, {Width: 4, Load: 12}}) {
 		if math.Abs(got[k]-want) > 0.02*want {
-			t.Errorf("class %d: %v, by Kaufman and Roberts %v", k, got[k], want)
+			t.Errorf("class %d: %v, want %v by Kaufman-Roberts", k, got[k], want)
 		}
 	}
 }
 
-// A processor with Poisson work is an M/G/1 queue with two classes, the first served
-// before the second: Pollaczek and Khinchine's, and Cobham's, mean waits.
+// A processor with Poisson arrivals is an M/G/1 queue with two priority classes without
+// preemption. Its mean waits must match the Pollaczek-Khinchine and the Cobham formula within
+// 2%.
 func TestProcessorWaits(t *testing.T) {
-	e := newEngine()
-	r := rand.New(rand.NewPCG(5, 5))
+	engine := newEngine()
+	rng := rand.New(rand.NewPCG(5, 5))
 	var sum [2]float64
-	var n [2]int
-	p := &processor{e: e, speed: func(time.Duration) float64 { return 1 }}
-	p.waits = func(follower bool, w time.Duration) {
+	var count [2]int
+	proc := &processor{engine: engine, speed: func(time.Duration) float64 { return 1 }}
+	proc.onServe = func(followUp bool, wait time.Duration) {
 		i := 0
-		if follower {
+		if followUp {
 			i = 1
 		}
-		sum[i] += w.Seconds()
-		n[i]++
+		sum[i] += wait.Seconds()
+		count[i]++
 	}
-	rates := [2]float64{30, 20} // a second; work is 10 or 30 ms, alike
+	arrivalRates := [2]float64{30, 20} // per second; the work is 3/4 of 10 or 30 ms, with equal probability
 	var arrive func(i int)
 	arrive = func(i int) {
-		e.after(time.Duration(r.ExpFloat64()/rates[i]*1e9), 'a', uint32(i), func() {
-			p.add(time.Duration(10+20*r.IntN(2))*time.Millisecond*3/4, i == 1, nil)
+		engine.scheduleAfter(time.Duration(rng.ExpFloat64()/arrivalRates[i]*1e9), 'a', uint32(i), func() {
+			proc.enqueue(time.Duration(10+20*rng.IntN(2))*time.Millisecond*3/4, i == 1, nil)
 			arrive(i)
 		})
 	}
 	arrive(0)
 	arrive(1)
-	for e.step(12 * time.Hour) {
+	for engine.step(12 * time.Hour) {
 	}
-	mean, square := 0.015, (0.0075*0.0075+0.0225*0.0225)/2
-	residual := (rates[0] + rates[1]) * square / 2
-	r0, all := rates[0]*mean, (rates[0]+rates[1])*mean
-	want := [2]float64{residual / (1 - r0), residual / (1 - r0) / (1 - all)}
+	meanWork, meanSquareWork := 0.015, (0.0075*0.0075+0.0225*0.0225)/2
+	residual := (arrivalRates[0] + arrivalRates[1]) * meanSquareWork / 2
+	setUpLoad, totalLoad := arrivalRates[0]*meanWork, (arrivalRates[0]+arrivalRates[1])*meanWork
+	want := [2]float64{residual / (1 - setUpLoad), residual / (1 - setUpLoad) / (1 - totalLoad)}
 	for i := range want {
-		if got := sum[i] / float64(n[i]); math.Abs(got-want[i]) > 0.02*want[i] {
-			t.Errorf("line %d: mean wait %v s, %v by Cobham", i, got, want[i])
+		if got := sum[i] / float64(count[i]); math.Abs(got-want[i]) > 0.02*want[i] {
+			t.Errorf("queue %d: mean wait %v s, want %v by Cobham", i, got, want[i])
 		}
 	}
 }
 
-// five is a full mesh whose groups hold half of what is offered.
-func five() Config {
-	c := lossy(1, []Class{{Name: "c", Width: 1, Hold: time.Second, GoalTime: time.Second, Deadline: 9 * time.Second, Worth: 1}}, nil)
-	c.Length, c.CountFrom, c.Exchanges, c.Groups, c.NewPolicy = 20*time.Second, 0, 5, nil, NewEvenPolicy
-	c.SetUpWork, c.MaxWait = slices.Repeat([]time.Duration{time.Millisecond}, 5), slices.Repeat([]time.Duration{time.Second}, 5)
+// fullMesh returns a full mesh of five exchanges whose groups carry half of the offered load.
+func fullMesh() Config {
+	cfg := singleGroup(1, []Class{{Name: "c", Width: 1, Hold: time.Second, GoalTime: time.Second, Deadline: 9 * time.Second, Worth: 1}}, nil)
+	cfg.Length, cfg.CountFrom, cfg.Exchanges, cfg.Groups, cfg.NewPolicy = 20*time.Second, 0, 5, nil, NewEvenPolicy
+	cfg.SetUpWork, cfg.MaxWait = slices.Repeat([]time.Duration{time.Millisecond}, 5), slices.Repeat([]time.Duration{time.Second}, 5)
 	for a := range 5 {
 		for b := range 5 {
 			if a != b {
-				c.Flows = append(c.Flows, Flow{0, a, b, 5})
+				cfg.Flows = append(cfg.Flows, Flow{0, a, b, 5})
 			}
 			if a < b {
-				c.Groups = append(c.Groups, Group{a, b, 5})
+				cfg.Groups = append(cfg.Groups, Group{a, b, 5})
 			}
 		}
 	}
-	return c
+	return cfg
 }
 
-// A decider that breaks a rule ends the run with an error that names it.
+// A policy that breaks a rule must end the run with an error that names the rule.
 func TestRulesAreHeld(t *testing.T) {
-	for want, odd := range map[string]func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action{
-		"two attempts out": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
-			return append(acts, acts...)
+	for want, change := range map[string]func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action{
+		"two attempts outstanding": func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action {
+			return append(actions, actions...)
 		},
-		"sends to": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
-			for i, a := range acts {
+		"sends to": func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action {
+			for i, a := range actions {
 				if s, ok := a.(routing.Send); ok {
 					s.Host = "nowhere"
-					acts[i] = s
+					actions[i] = s
 				}
 			}
-			return acts
+			return actions
 		},
-		"final answer": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
+		"final answer": func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Offered); ok {
-				acts = append(acts, routing.Refuse{Call: o.Call})
+				actions = append(actions, routing.Refuse{Call: o.Call})
 			}
-			return acts
+			return actions
 		},
-		"call in transit": func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action {
+		"call in transit": func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Offered); ok && o.Transit {
-				third := slices.IndexFunc(hosts[:], func(h string) bool { return h != host(o.Dest) && h != host(p.set.OwnExchange) })
-				return []routing.Action{routing.Send{Call: o.Call, Host: host(third)}}
+				third := slices.IndexFunc(hostNames[:], func(h string) bool { return h != hostName(o.Dest) && h != hostName(p.settings.OwnExchange) })
+				return []routing.Action{routing.Send{Call: o.Call, Host: hostName(third)}}
 			}
-			return acts
+			return actions
 		},
 	} {
-		c := five()
-		c.NewPolicy = func(s routing.Settings, seed uint64) (routing.Policy, error) {
-			p := newPlain(s, seed, true)
-			return odder{p, odd}, nil
+		cfg := fullMesh()
+		cfg.NewPolicy = func(settings routing.Settings, seed uint64) (routing.Policy, error) {
+			p := newSimplePolicy(settings, seed, true)
+			return changedPolicy{p, change}, nil
 		}
-		if _, err := Run(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		if _, err := Run(cfg); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("want an error with %q: %v", want, err)
 		}
 	}
-	c := five()
-	c.Groups[0].Circuits = -1
-	if _, err := Run(c); err == nil {
-		t.Error("a group of -1")
+	cfg := fullMesh()
+	cfg.Groups[0].Circuits = -1
+	if _, err := Run(cfg); err == nil {
+		t.Error("no error for a group of -1 circuits")
 	}
 }
 
-type odder struct {
-	p   *SimplePolicy
-	odd func(p *SimplePolicy, ev routing.Event, acts []routing.Action) []routing.Action
+// changedPolicy changes the actions of a SimplePolicy.
+type changedPolicy struct {
+	policy *SimplePolicy
+	change func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action
 }
 
-func (o odder) Handle(now time.Duration, ev routing.Event) []routing.Action {
-	return o.odd(o.p, ev, o.p.Handle(now, ev))
+func (p changedPolicy) Handle(now time.Duration, ev routing.Event) []routing.Action {
+	return p.change(p.policy, ev, p.policy.Handle(now, ev))
 }
--- a/internal/mesh/policy.go
+++ b/internal/mesh/policy.go
@@ -8,78 +8,81 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// SimplePolicy is a decider to compare with. It goes direct while there is room, else by
-// a tandem drawn evenly among those to which the own group has room, and again by
-// another if that one turns the call back. It keeps the rules and nothing more: no
-// throttle, no reserve, no memory.
+// SimplePolicy is a baseline policy for comparison. It routes a call directly while the group
+// has free circuits, else through a tandem drawn with equal probability from those that its own
+// groups can reach, and through another one if that tandem turns the call back. It follows the
+// rules and does nothing more: no throttling, no trunk reservation, no learning.
 type SimplePolicy struct {
-	set    routing.Settings
-	rng    *rand.Rand
-	round  bool
-	hosts  []routing.ListEntry
-	free   map[string]int // circuits; -1: not known
-	calls  map[string]*plainCall
-	subbed bool
+	settings     routing.Settings
+	rng          *rand.Rand
+	useTandems   bool
+	ready        []routing.ListEntry // exchanges that take calls, by number
+	freeCircuits map[string]int      // by host of the far exchange; no entry: not known
+	calls        map[string]*simpleCall
+	subscribed   bool
 }
 
-type plainCall struct {
+// simpleCall is a call offered to a SimplePolicy.
+type simpleCall struct {
 	routing.Offered
-	tried []int
-	sends int
-	out   bool
-	owed  bool
+	tried       []int // exchanges
+	sends       int
+	outstanding bool // an attempt is outstanding
+	pending     bool // the final answer is pending
 }
 
-// NewEvenPolicy makes a Plain that uses tandems.
-func NewEvenPolicy(s routing.Settings, seed uint64) (routing.Policy, error) {
-	return newPlain(s, seed, true), nil
+// NewEvenPolicy returns a SimplePolicy that uses tandems. The error is always nil.
+func NewEvenPolicy(settings routing.Settings, seed uint64) (routing.Policy, error) {
+	return newSimplePolicy(settings, seed, true), nil
 }
 
-// NewDirectPolicy makes a Plain that never does.
-func NewDirectPolicy(s routing.Settings, seed uint64) (routing.Policy, error) {
-	return newPlain(s, seed, false), nil
+// NewDirectPolicy returns a SimplePolicy that never uses tandems. The error is always nil.
+func NewDirectPolicy(settings routing.Settings, seed uint64) (routing.Policy, error) {
+	return newSimplePolicy(settings, seed, false), nil
 }
 
-func newPlain(s routing.Settings, seed uint64, round bool) *SimplePolicy {
-	return &SimplePolicy{set: s, rng: rand.New(rand.NewPCG(seed, 77)), round: round, free: map[string]int{}, calls: map[string]*plainCall{}}
+func newSimplePolicy(settings routing.Settings, seed uint64, useTandems bool) *SimplePolicy {
+	return &SimplePolicy{settings: settings, rng: rand.New(rand.NewPCG(seed, 77)), useTandems: useTandems,
+		freeCircuits: map[string]int{}, calls: map[string]*simpleCall{}}
 }
 
-// Handle takes one event and returns what is to be done.
+// Handle processes an event and returns the actions to execute.
 func (p *SimplePolicy) Handle(now time.Duration, ev routing.Event) []routing.Action {
 	switch e := ev.(type) {
 	case routing.ListUpdated:
-		return p.listed(e)
+		return p.updateList(e)
 	case routing.Reported:
-		p.report(e.Host, e.Report)
+		p.recordReport(e.Host, e.Report)
 	case routing.Offered:
-		k := &plainCall{Offered: e, owed: true}
-		p.calls[e.Call] = k
-		return p.place(now, k)
+		call := &simpleCall{Offered: e, pending: true}
+		p.calls[e.Call] = call
+		return p.route(now, call)
 	case routing.Established:
-		if k := p.calls[e.Call]; k != nil {
-			k.owed = false
+		if call := p.calls[e.Call]; call != nil {
+			call.pending = false
 		}
 	case routing.Withdrawn:
-		if k := p.calls[e.Call]; k != nil {
-			k.owed = false
-			if !k.out {
+		if call := p.calls[e.Call]; call != nil {
+			call.pending = false
+			if !call.outstanding {
 				delete(p.calls, e.Call)
 			}
 		}
 	case routing.AttemptEnded:
-		p.report(e.Host, e.Report)
-		k := p.calls[e.Call]
-		if k == nil || e.Attempt != k.sends-1 {
+		p.recordReport(e.Host, e.Report)
+		call := p.calls[e.Call]
+		if call == nil || e.Attempt != call.sends-1 {
 			return nil
 		}
-		k.out = false
-		if e.CallEnded || !k.owed {
+		call.outstanding = false
+		if e.CallEnded || !call.pending {
 			delete(p.calls, e.Call)
 			return nil
 		}
-		// After a time-out or reset the call would have to rest: it is given back.
+		// After a time-out or reset the next attempt would have to wait for the release delay:
+		// the call fails instead.
 		if e.Result == routing.Refused || e.Result == routing.NotSent {
-			return p.place(now, k)
+			return p.route(now, call)
 		}
 		delete(p.calls, e.Call)
 		return []routing.Action{routing.Fail{Call: e.Call}}
@@ -87,57 +90,57 @@
 	return nil
 }
 
-func (p *SimplePolicy) report(host string, r routing.Report) {
+func (p *SimplePolicy) recordReport(host string, r routing.Report) {
 	if r.Size >= 0 {
-		p.free[host] = r.Free
+		p.freeCircuits[host] = r.Free
 	}
 }
 
-func (p *SimplePolicy) listed(e routing.ListUpdated) []routing.Action {
+func (p *SimplePolicy) updateList(e routing.ListUpdated) []routing.Action {
 	if e.Failed {
 		return nil
 	}
 	if e.Complete {
-		p.hosts = nil
+		p.ready = nil
 	}
-	for _, n := range e.Entries {
-		p.hosts = slices.DeleteFunc(p.hosts, func(o routing.ListEntry) bool { return o.Host == n.Host })
-		if n.State == routing.Ready {
-			p.hosts = append(p.hosts, n)
+	for _, entry := range e.Entries {
+		p.ready = slices.DeleteFunc(p.ready, func(other routing.ListEntry) bool { return other.Host == entry.Host })
+		if entry.State == routing.Ready {
+			p.ready = append(p.ready, entry)
 		}
 	}
-	slices.SortFunc(p.hosts, func(a, b routing.ListEntry) int { return a.Exchange - b.Exchange })
-	if p.set.SubscribeRequired && !p.subbed {
-		p.subbed = true
+	slices.SortFunc(p.ready, func(a, b routing.ListEntry) int { return a.Exchange - b.Exchange })
+	if p.settings.SubscribeRequired && !p.subscribed {
+		p.subscribed = true
 		return []routing.Action{routing.Subscribe{}}
 	}
 	return nil
 }
 
-// place sends a call on by a way not tried yet, or refuses it.
-func (p *SimplePolicy) place(now time.Duration, k *plainCall) []routing.Action {
-	var ways []routing.ListEntry
-	for _, h := range p.hosts {
-		free, known := p.free[h.Host]
-		if h.Exchange == p.set.OwnExchange || slices.Contains(k.tried, h.Exchange) || known && free < k.Width ||
-			h.Started > 0 && now < h.Started+p.set.WarmUpTime {
+// route sends a call on a route that it has not tried yet, or refuses it.
+func (p *SimplePolicy) route(now time.Duration, call *simpleCall) []routing.Action {
+	var candidates []routing.ListEntry
+	for _, entry := range p.ready {
+		free, known := p.freeCircuits[entry.Host]
+		if entry.Exchange == p.settings.OwnExchange || slices.Contains(call.tried, entry.Exchange) || known && free < call.Width ||
+			entry.Started > 0 && now < entry.Started+p.settings.WarmUpTime {
 			continue
 		}
-		if h.Exchange == k.Dest {
-			ways = []routing.ListEntry{h}
+		if entry.Exchange == call.Dest {
+			candidates = []routing.ListEntry{entry}
 			break
 		}
-		if p.round && !k.Transit {
-			ways = append(ways, h)
+		if p.useTandems && !call.Transit {
+			candidates = append(candidates, entry)
 		}
 	}
-	if len(ways) == 0 || k.sends >= p.set.MaxAttempts || now >= k.Expires {
-		delete(p.calls, k.Call)
-		return []routing.Action{routing.Refuse{Call: k.Call}}
+	if len(candidates) == 0 || call.sends >= p.settings.MaxAttempts || now >= call.Expires {
+		delete(p.calls, call.Call)
+		return []routing.Action{routing.Refuse{Call: call.Call}}
 	}
-	h := ways[p.rng.IntN(len(ways))]
-	k.sends++
-	k.out = true
-	k.tried = append(k.tried, h.Exchange)
-	return []routing.Action{routing.Send{Call: k.Call, Host: h.Host, Timeout: k.Expires - now}}
+	chosen := candidates[p.rng.IntN(len(candidates))]
+	call.sends++
+	call.outstanding = true
+	call.tried = append(call.tried, chosen.Exchange)
+	return []routing.Action{routing.Send{Call: call.Call, Host: chosen.Host, Timeout: call.Expires - now}}
 }
--- a/internal/mesh/result.go
+++ b/internal/mesh/result.go
@@ -6,112 +6,116 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// window is the stretch whose worst is reported.
-const window = 10 * time.Second
+// windowLength is the length of the windows of which the worst is reported.
+const windowLength = 10 * time.Second
 
-// Result is what a run came to. Counts are of all of it, services of the first
-// tries from Config.Warm on.
+// Result holds the results of a run. Counts cover the whole run; the shares of worth cover
+// callers whose first try is at Config.CountFrom or later.
 type Result struct {
-	TraceHash      uint64 // of the trace: every event's time, kind and place
+	TraceHash      uint64 // hash of every event's time, kind and place
 	Events         uint64
-	Service        float64   // worth that stood in time and was not cut, over worth offered
-	WorstService   float64   // the same in the worst 10 s
-	ServiceByClass []float64 // the same by class
-	TandemShare    float64   // share of the calls that stood over a tandem
+	Service        float64   // worth earned by calls that were not cut, over the worth offered
+	WorstService   float64   // Service in the worst window of 10 s
+	ServiceByClass []float64 // Service by class
+	TandemShare    float64   // share of the established calls that use a tandem
 
 	Offered, Tries, Sends, TandemSends           int
 	Established, EstablishedViaTandem, Late, Cut int
 	Refused, TurnedBack, TimedOut                int
-	GivenUp, Repeats, Wasted                     int
-	ProcessorFull, ColdOverloads                 int
-	Utilization                                  []float64 // by exchange: share of the time that its processor served
-	// SetUpTime is of the calls that stood, from the first try, in microseconds.
+	GivenUp, Repeats, Wasted                     int // Wasted: set-ups processed after their sender had given up
+	ProcessorFull, ColdOverloads                 int // ColdOverloads: of processors that were still warming up
+	// Utilization is, by exchange, the share of time in which its processor was busy.
+	Utilization []float64
+	// SetUpTime holds the times from first try to answer of established calls, in microseconds.
 	SetUpTime *hdrhistogram.Histogram
 
-	asked, got   []float64 // worth by class
-	wasked, wgot []float64 // worth by window of arrival
-	warm         time.Duration
+	offeredWorth, earnedWorth   []float64 // by class
+	windowOffered, windowEarned []float64 // worth by window of the first try
+	countFrom                   time.Duration
 }
 
-func (r *Result) begin(c *Config) {
-	n := int((c.Length-c.CountFrom)/window) + 1
-	r.warm = c.CountFrom
-	r.asked, r.got = make([]float64, len(c.Classes)), make([]float64, len(c.Classes))
-	r.wasked, r.wgot = make([]float64, max(1, n)), make([]float64, max(1, n))
+func (r *Result) initialize(cfg *Config) {
+	windows := int((cfg.Length-cfg.CountFrom)/windowLength) + 1
+	r.countFrom = cfg.CountFrom
+	r.offeredWorth, r.earnedWorth = make([]float64, len(cfg.Classes)), make([]float64, len(cfg.Classes))
+	r.windowOffered, r.windowEarned = make([]float64, max(1, windows)), make([]float64, max(1, windows))
 	r.SetUpTime = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 }
 
-func (r *Result) window(c *caller) int {
-	return min(int((c.first-r.warm)/window), len(r.wasked)-1)
+// windowOf returns the index of the window in which the caller first tried.
+func (r *Result) windowOf(caller *callerState) int {
+	return min(int((caller.firstTryAt-r.countFrom)/windowLength), len(r.windowOffered)-1)
 }
 
-func (r *Result) offer(c *caller, k Class) {
+func (r *Result) recordOffered(caller *callerState, class Class) {
 	r.Offered++
-	if c.counted {
-		r.asked[c.class] += k.Worth
-		r.wasked[r.window(c)] += k.Worth
+	if caller.counted {
+		r.offeredWorth[caller.class] += class.Worth
+		r.windowOffered[r.windowOf(caller)] += class.Worth
 	}
 }
 
-func earned(c *caller, k Class, took time.Duration) float64 {
+// worthEarned returns the worth of a call established after setUpTime.
+func worthEarned(caller *callerState, class Class, setUpTime time.Duration) float64 {
 	switch {
-	case took <= k.GoalTime:
-		return k.Worth
-	case took <= k.Deadline:
-		return k.Worth * k.LateShare
+	case setUpTime <= class.GoalTime:
+		return class.Worth
+	case setUpTime <= class.Deadline:
+		return class.Worth * class.LateShare
 	}
 	return 0
 }
 
-func (r *Result) stood(c *caller, k Class, now time.Duration, round bool) {
+func (r *Result) recordEstablished(caller *callerState, class Class, now time.Duration, viaTandem bool) {
 	r.Established++
-	if round {
+	if viaTandem {
 		r.EstablishedViaTandem++
 	}
-	took := now - c.first
-	c.took = took
-	if took > k.GoalTime {
+	setUpTime := now - caller.firstTryAt
+	caller.setUpTime = setUpTime
+	if setUpTime > class.GoalTime {
 		r.Late++
 	}
-	_ = r.SetUpTime.RecordValue(max(1, took.Microseconds())) // a run is shorter than its range
-	if c.counted {
-		w := earned(c, k, took)
-		r.got[c.class] += w
-		r.wgot[r.window(c)] += w
+	_ = r.SetUpTime.RecordValue(max(1, setUpTime.Microseconds())) // never above the histogram's range: a run is shorter
+	if caller.counted {
+		w := worthEarned(caller, class, setUpTime)
+		r.earnedWorth[caller.class] += w
+		r.windowEarned[r.windowOf(caller)] += w
 	}
 }
 
-func (r *Result) cut(c *caller, k Class) {
+func (r *Result) recordCut(caller *callerState, class Class) {
 	r.Cut++
-	if c.counted {
-		w := earned(c, k, c.took)
-		r.got[c.class] -= w
-		r.wgot[r.window(c)] -= w
+	if caller.counted {
+		w := worthEarned(caller, class, caller.setUpTime)
+		r.earnedWorth[caller.class] -= w
+		r.windowEarned[r.windowOf(caller)] -= w
 	}
 }
 
 func (r *Result) finish(m *Mesh) {
 	r.TraceHash, r.Events = m.trace.Sum64(), m.steps
-	asked, got := 0.0, 0.0
-	for k := range r.asked {
-		asked += r.asked[k]
-		got += r.got[k]
-		r.ServiceByClass = append(r.ServiceByClass, ratio(r.got[k], r.asked[k]))
+	offered, earned := 0.0, 0.0
+	for k := range r.offeredWorth {
+		offered += r.offeredWorth[k]
+		earned += r.earnedWorth[k]
+		r.ServiceByClass = append(r.ServiceByClass, ratio(r.earnedWorth[k], r.offeredWorth[k]))
 	}
-	r.Service = ratio(got, asked)
+	r.Service = ratio(earned, offered)
 	r.WorstService = 1
-	for i, a := range r.wasked {
-		// A last stretch much shorter than the others says little.
-		if a > 0 && (i == 0 || i < len(r.wasked)-1 || (m.cfg.Length-m.cfg.CountFrom)%window > window/2) {
-			r.WorstService = min(r.WorstService, ratio(r.wgot[i], a))
+	for i, worth := range r.windowOffered {
+		// A last window of at most half the length says little: it counts only if it is the only one.
+		if worth > 0 && (i == 0 || i < len(r.windowOffered)-1 || (m.cfg.Length-m.cfg.CountFrom)%windowLength > windowLength/2) {
+			r.WorstService = min(r.WorstService, ratio(r.windowEarned[i], worth))
 		}
 	}
 	r.TandemShare = ratio(float64(r.EstablishedViaTandem), float64(r.Established))
-	for _, x := range m.xs {
-		r.Utilization = append(r.Utilization, x.proc.used.Seconds()/m.now.Seconds())
+	for _, exchange := range m.exchanges {
+		r.Utilization = append(r.Utilization, exchange.proc.busyTime.Seconds()/m.now.Seconds())
 	}
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
