--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -41,7 +41,7 @@
 // maxMeshViolations bounds the number of stored violations; the first ones matter most.
 const maxMeshViolations = 20
 
-// NewMesh returns stand-ins for a config; its Make, troubles and delays are not used.
+// NewMesh returns stand-ins for a config; its NewPolicy, Faults and delays are not used.
 func NewMesh(cfg mesh.Config) *Mesh {
 	r := &Mesh{cfg: cfg, freeCircuits: map[[2]int]int{}, totalCircuits: map[[2]int]int{}, legs: map[legKey]*leg{}, switchConns: map[[2]int][]*queuedConn{},
 		calls: map[uint64]*call{}, counts: map[string]int{}, callerConns: make([]*queuedConn, cfg.Exchanges)}
