--- a/internal/cluster/entry.go
+++ b/internal/cluster/entry.go
@@ -1,10 +1,10 @@
-// Package cluster replicates a small state over instances by a consensus log: a Member
-// is one instance's part, without a goroutine, clock or socket of its own, so that the
-// same code runs on a virtual clock and on the real one. The host hands it messages and
-// ticks, sends what it gives back, and provides the disk.
+// Package cluster replicates a small state machine across instances with a Raft log. A
+// Member is the Raft node of one instance. It has no goroutine, clock or socket of its
+// own, so the same code runs on a virtual clock and on the real one. A Host passes it
+// messages and ticks, sends the messages it returns, and provides the storage.
 //
-// The consensus itself is the state machine of go.etcd.io/raft/v3. docs/cluster.md says
-// what is promised.
+// The consensus algorithm is that of go.etcd.io/raft/v3. docs/cluster.md describes the
+// guarantees.
 package cluster
 
 import (
@@ -20,27 +20,27 @@
 
 var strictJSON = jsoniter.Config{SortMapKeys: true, DisallowUnknownFields: true}.Froze()
 
-// lenientJSON reads what a later minor version may have added to.
+// lenientJSON ignores unknown fields, which a later minor version may have added.
 var lenientJSON = jsoniter.Config{SortMapKeys: true}.Froze()
 
-// entryVersion is that of an entry's form. An instance that finds a later one in its
-// log can't go on: it would hold another state than the others.
+// entryVersion is the version of the entry format. An instance that finds a later version
+// in its log must stop: its state would diverge from that of the other instances.
 const entryVersion = 1
 
-// MaxEntryBytes bounds an entry, in bytes.
+// MaxEntryBytes is the maximum size of an encoded entry.
 const MaxEntryBytes = 64 << 10
 
-// ErrUnsupportedVersion says that an entry or a snapshot is of a later version than this program.
-var ErrUnsupportedVersion = errors.New("cluster: of a later version")
+// ErrUnsupportedVersion reports an entry whose format version is later than entryVersion.
+var ErrUnsupportedVersion = errors.New("cluster: unsupported format version")
 
-// envelope is an entry's form in the log.
+// envelope is the encoding of an entry in the log.
 type envelope struct {
 	V    int             `json:"v"`
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
 }
 
-// entryDecoders reads each kind of entry; it is named as its type is.
+// entryDecoders maps each entry kind, which is the name of its Go type, to its decoder.
 var entryDecoders = map[string]func(b []byte) (duty.Entry, error){
 	"Join": decodeAs[duty.Join], "Leave": decodeAs[duty.Leave], "Register": decodeAs[duty.Register], "Remove": decodeAs[duty.Remove], "Tick": decodeAs[duty.Tick], "Done": decodeAs[duty.Done],
 }
@@ -51,11 +51,11 @@
 	return e, err
 }
 
-// EncodeEntry writes an entry for the log.
+// EncodeEntry encodes an entry for the log. It fails if the result exceeds MaxEntryBytes.
 func EncodeEntry(e duty.Entry) ([]byte, error) {
 	kind := strings.TrimPrefix(fmt.Sprintf("%T", e), "duty.")
 	if entryDecoders[kind] == nil {
-		return nil, fmt.Errorf("cluster: entry %T", e)
+		return nil, fmt.Errorf("cluster: unknown entry type %T", e)
 	}
 	body, err := strictJSON.Marshal(e)
 	if err != nil {
@@ -63,30 +63,30 @@
 	}
 	b, err := strictJSON.Marshal(envelope{entryVersion, kind, body})
 	if err == nil && len(b) > MaxEntryBytes {
-		err = fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
+		err = fmt.Errorf("cluster: entry of %d bytes exceeds the maximum of %d", len(b), MaxEntryBytes)
 	}
 	return b, err
 }
 
-// DecodeEntry reads an entry of the log.
+// DecodeEntry decodes a log entry. It returns ErrUnsupportedVersion for a later format.
 func DecodeEntry(b []byte) (duty.Entry, error) {
 	if len(b) > MaxEntryBytes {
-		return nil, fmt.Errorf("cluster: an entry of %d bytes, more than %d", len(b), MaxEntryBytes)
+		return nil, fmt.Errorf("cluster: entry of %d bytes exceeds the maximum of %d", len(b), MaxEntryBytes)
 	}
 	var decoded envelope
 	if err := lenientJSON.Unmarshal(b, &decoded); err != nil {
-		return nil, fmt.Errorf("cluster: entry: %w", err)
+		return nil, fmt.Errorf("cluster: decode entry: %w", err)
 	}
 	decode := entryDecoders[decoded.Kind]
 	switch {
 	case decoded.V > entryVersion:
-		return nil, fmt.Errorf("%w: entry %d", ErrUnsupportedVersion, decoded.V)
+		return nil, fmt.Errorf("%w: entry version %d", ErrUnsupportedVersion, decoded.V)
 	case decoded.V < 1 || decode == nil:
-		return nil, fmt.Errorf("cluster: an entry of version %d and kind %q", decoded.V, decoded.Kind)
+		return nil, fmt.Errorf("cluster: unknown entry version %d or kind %q", decoded.V, decoded.Kind)
 	}
 	e, err := decode(decoded.Body)
 	if err != nil {
-		return nil, fmt.Errorf("cluster: entry: %w", err)
+		return nil, fmt.Errorf("cluster: decode entry: %w", err)
 	}
 	return e, nil
 }
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -12,33 +12,33 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A frame is what instances send each other:
+// Instances exchange frames of the form
 //
 //	magic:2 major:1 minor:1 type:1 zero:3 length:4 checksum:4 payload
 //
-// big-endian; the length is that of the payload, the checksum its CRC-32C. Instances of
-// one major version understand each other. A later minor version may add types, which an
-// earlier one skips, and fields at a payload's end, which it ignores.
+// in big-endian order, with the length and the CRC-32C checksum of the payload. Instances
+// of the same major version are compatible. A later minor version may add frame types,
+// which earlier versions skip, and fields at the end of a payload, which they ignore.
 const (
 	frameMagic       = 0x7653
 	FrameMajor       = 1
 	FrameMinor       = 0
 	frameHeaderBytes = 16
-	// MaxPayloadBytes bounds a payload, in bytes: a snapshot goes in one.
+	// MaxPayloadBytes is the maximum size of a payload. A snapshot is sent in one frame.
 	MaxPayloadBytes = 16 << 20
 )
 
-// FrameType is what a frame holds.
+// FrameType identifies the payload of a frame.
 type FrameType byte
 
-// The types of frames.
+// Frame types.
 const (
-	FrameHello     FrameType = 1 // first each way: who speaks, and which versions it knows
-	FrameRaft      FrameType = 2 // a message of the log
-	FrameHeartbeat FrameType = 3 // to the leader: the sender spoke, at a time of its own clock
+	FrameHello     FrameType = 1 // first frame on a connection: the sender's identity and version
+	FrameRaft      FrameType = 2 // a Raft message
+	FrameHeartbeat FrameType = 3 // to the leader: when it was sent, by the sender's monotonic clock; renews the sender's duty lease
 )
 
-// Frame is one frame.
+// Frame is a decoded frame; its major version is FrameMajor.
 type Frame struct {
 	Minor   byte
 	Type    FrameType
@@ -47,14 +47,14 @@
 
 // Errors of ReadFrame.
 var (
-	ErrMalformedFrame = errors.New("cluster: a malformed frame")
-	ErrMajorVersion   = errors.New("cluster: a frame of another major version")
+	ErrMalformedFrame = errors.New("cluster: malformed frame")
+	ErrMajorVersion   = errors.New("cluster: unsupported major version of a frame")
 )
 
-// AppendFrame adds a frame's bytes to b.
+// AppendFrame appends the encoding of a frame to b.
 func AppendFrame(b []byte, f Frame) ([]byte, error) {
 	if len(f.Payload) > MaxPayloadBytes {
-		return b, fmt.Errorf("%w: %d bytes, more than %d", ErrMalformedFrame, len(f.Payload), MaxPayloadBytes)
+		return b, fmt.Errorf("%w: payload of %d bytes exceeds the maximum of %d", ErrMalformedFrame, len(f.Payload), MaxPayloadBytes)
 	}
 	b = binary.BigEndian.AppendUint16(b, frameMagic)
 	b = append(b, FrameMajor, f.Minor, byte(f.Type), 0, 0, 0)
@@ -63,8 +63,9 @@
 	return append(b, f.Payload...), nil
 }
 
-// ReadFrame reads one frame. A clean end of the input is io.EOF; nothing is allocated
-// for a payload beyond what arrives, but for 64 KiB.
+// ReadFrame reads one frame. It returns io.EOF if the input ends before a frame and
+// io.ErrUnexpectedEOF if it ends within one. It allocates at most 64 KiB more than has
+// arrived, whatever length the header claims.
 func ReadFrame(r io.Reader) (Frame, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -73,11 +74,11 @@
 	length := binary.BigEndian.Uint32(header[8:])
 	switch {
 	case binary.BigEndian.Uint16(header[:]) != frameMagic:
-		return Frame{}, fmt.Errorf("%w: it begins with %x", ErrMalformedFrame, header[:2])
+		return Frame{}, fmt.Errorf("%w: magic number %x", ErrMalformedFrame, header[:2])
 	case header[2] != FrameMajor:
 		return Frame{}, fmt.Errorf("%w: %d", ErrMajorVersion, header[2])
 	case length > MaxPayloadBytes:
-		return Frame{}, fmt.Errorf("%w: a length of %d", ErrMalformedFrame, length)
+		return Frame{}, fmt.Errorf("%w: payload length %d", ErrMalformedFrame, length)
 	}
 	f := Frame{Minor: header[3], Type: FrameType(header[4])}
 	for remaining := int(length); remaining > 0; {
@@ -93,7 +94,7 @@
 		remaining -= chunk
 	}
 	if crc32.Checksum(f.Payload, castagnoli) != binary.BigEndian.Uint32(header[12:]) {
-		return Frame{}, fmt.Errorf("%w: a wrong checksum", ErrMalformedFrame)
+		return Frame{}, fmt.Errorf("%w: wrong checksum", ErrMalformedFrame)
 	}
 	return f, nil
 }
@@ -103,37 +104,37 @@
 	Installation string `json:"installation"`
 	Member       uint64 `json:"member"`
 	Name         string `json:"name"`
-	Minor        int    `json:"minor"` // the latest that the sender knows
+	Minor        int    `json:"minor"` // latest minor version that the sender supports
 }
 
-// HelloFrame makes the frame of a Hello.
+// HelloFrame returns a FrameHello that holds h.
 func HelloFrame(h Hello) (Frame, error) {
 	b, err := strictJSON.Marshal(h)
 	return Frame{FrameMinor, FrameHello, b}, err
 }
 
-// Hello reads a FrameHello. Fields that it doesn't know are of a later minor version.
+// Hello decodes a FrameHello. It ignores unknown fields, which are of a later minor version.
 func (f Frame) Hello() (Hello, error) {
 	var h Hello
 	if f.Type != FrameHello {
-		return h, fmt.Errorf("%w: type %d in place of a hello", ErrMalformedFrame, f.Type)
+		return h, fmt.Errorf("%w: type %d instead of hello", ErrMalformedFrame, f.Type)
 	}
 	if err := lenientJSON.Unmarshal(f.Payload, &h); err != nil {
 		return h, fmt.Errorf("%w: hello: %w", ErrMalformedFrame, err)
 	}
 	if h.Member == 0 || h.Installation == "" || len(h.Installation) > 128 || len(h.Name) > 128 {
-		return h, fmt.Errorf("%w: hello of member %d", ErrMalformedFrame, h.Member)
+		return h, fmt.Errorf("%w: hello with an invalid field, member %d", ErrMalformedFrame, h.Member)
 	}
 	return h, nil
 }
 
-// RaftFrame makes the frame of a message of the log.
+// RaftFrame returns a FrameRaft that holds m.
 func RaftFrame(m *pb.Message) (Frame, error) {
 	b, err := proto.Marshal(m)
 	return Frame{FrameMinor, FrameRaft, b}, err
 }
 
-// Raft reads a FrameRaft.
+// Raft decodes a FrameRaft.
 func (f Frame) Raft() (*pb.Message, error) {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(f.Payload, m); err != nil {
@@ -142,15 +143,15 @@
 	return m, nil
 }
 
-// HeartbeatFrame makes the frame of a beat.
+// HeartbeatFrame returns a FrameHeartbeat with the sender's monotonic time.
 func HeartbeatFrame(sentAt time.Duration) Frame {
 	return Frame{FrameMinor, FrameHeartbeat, encodeUint64(uint64(sentAt))}
 }
 
-// Heartbeat reads a FrameBeat.
+// Heartbeat decodes a FrameHeartbeat and returns the sender's monotonic time.
 func (f Frame) Heartbeat() (time.Duration, error) {
 	if len(f.Payload) < 8 {
-		return 0, fmt.Errorf("%w: a beat of %d bytes", ErrMalformedFrame, len(f.Payload))
+		return 0, fmt.Errorf("%w: heartbeat of %d bytes", ErrMalformedFrame, len(f.Payload))
 	}
 	return time.Duration(binary.BigEndian.Uint64(f.Payload)), nil
 }
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -19,44 +19,46 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-// Peer is where a member listens.
+// Peer is a member and its address.
 type Peer struct {
 	ID   uint64
 	Name string
 	Addr string
 }
 
-// HostConfig is what a Host is made of.
+// HostConfig is the configuration of a Host.
 type HostConfig struct {
 	ID          uint64
 	Name        string
 	Credentials *Credentials
-	Listener    net.Listener // plain; the host speaks TLS on it
-	Peers       []Peer       // all members, this one included
-	Bootstrap   bool         // this one founds the installation with all of Peers
+	Listener    net.Listener // without TLS, which the host adds
+	Peers       []Peer       // all members, including this one
+	Bootstrap   bool         // start a new installation with all of Peers as its members
 	Storage     Storage
 	Duties      []duty.Spec
-	// Run carries a claim out at its sink, off the host's own goroutine. Its context
-	// ends at the duty's deadline, or when the duty is another's. A panic is an error.
+	// Run executes a claim at its sink, in a goroutine of its own. Its context is
+	// cancelled at the duty's deadline or when another member takes the duty over. A
+	// panic counts as an error.
 	Run               func(ctx context.Context, c duty.Claim) error
-	MaxConcurrentRuns int           // runs at once; 0: 4
-	Lease             time.Duration // 0: 1 s; a member's tick is a twentieth of it
+	MaxConcurrentRuns int           // 0 means 4
+	Lease             time.Duration // 0 means 1 s; a Raft tick is a twentieth of it
 	Log               *slog.Logger
 }
 
-// Bounds of a host.
+// Limits and timeouts of a host.
 const (
-	inboxSize           = 4096 // messages that wait for the host; more are lost, as on a bad line
-	outboxSize          = 1024 // messages that wait for one peer; more are lost
+	inboxSize           = 4096 // queued inbound frames; more are dropped, as on a lossy network
+	outboxSize          = 1024 // queued frames per peer; more are dropped
 	dialTimeout         = time.Second
 	writeTimeout        = 2 * time.Second
 	reconnectBackoffMin = 50 * time.Millisecond
 	reconnectBackoffMax = time.Second
 	maxInboundConns     = 4 * duty.MaxMembers
-	shutdownTimeout     = 2 * time.Second // for runs, at the end
+	shutdownTimeout     = 2 * time.Second // for running duties to return
 )
 
-// Host runs a Member: its goroutine, clock, sockets and runs. Calls never wait for it.
+// Host runs a Member. It owns the member's goroutine, clock, sockets and duty runs.
+// Call processing never waits for it.
 type Host struct {
 	cfg            HostConfig
 	log            *slog.Logger
@@ -67,7 +69,7 @@
 	outboxes       map[uint64]chan Frame
 	statusRequests chan chan Status
 
-	// The goroutine of loop alone uses all below.
+	// The fields below are used only by the goroutine of mainLoop.
 	member      *Member
 	agent       *duty.Agent
 	incarnation uint64
@@ -83,7 +85,7 @@
 	frame  Frame
 }
 
-// run is one run of a duty.
+// run is a running duty.
 type run struct{ cancel context.CancelFunc }
 
 type runResult struct {
@@ -92,25 +94,26 @@
 	err   error
 }
 
-// Counters are of what a host did since its start.
+// Counters counts events since the host started.
 type Counters struct {
 	Runs, Failed, Fenced, Reproposed int
-	Hung                             int // runs that did not end when they were told to
-	DroppedFrames                    int // messages for which there was no room
-	ElectionsWon                     int // times that it became leader
+	Hung                             int // runs that did not return after they were cancelled
+	DroppedFrames                    int // outbound frames dropped for lack of queue space or an unknown peer
+	ElectionsWon                     int // times that the member became leader
 }
 
-// Status is how a host stands.
+// Status is the state of a host.
 type Status struct {
 	ID, Leader, Term, Applied uint64
 	Joined                    bool
 	Counters                  Counters
 	Duties                    []duty.Status
 	Members                   []duty.MemberStatus
-	Now                       time.Duration // of the log
+	Now                       time.Duration // time of the log
 }
 
-// NewHost opens the member from its disk.
+// NewHost opens the member from its storage. It returns ErrInvalidIdentity if the
+// certificate is another member's.
 func NewHost(cfg HostConfig) (*Host, error) {
 	if cfg.Lease <= 0 {
 		cfg.Lease = time.Second
@@ -126,7 +129,7 @@
 		return nil, err
 	}
 	if id.Member != cfg.ID {
-		return nil, fmt.Errorf("%w: it is member %d's, not %d's", ErrInvalidIdentity, id.Member, cfg.ID)
+		return nil, fmt.Errorf("%w: certificate of member %d, not %d", ErrInvalidIdentity, id.Member, cfg.ID)
 	}
 	h := &Host{cfg: cfg, log: cfg.Log, tickInterval: cfg.Lease / 20, startedAt: time.Now(), inbox: make(chan inboundFrame, inboxSize), runResults: make(chan runResult, cfg.MaxConcurrentRuns),
 		outboxes: map[uint64]chan Frame{}, statusRequests: make(chan chan Status), heartbeats: map[string]time.Duration{}, running: map[duty.Claim]*run{},
@@ -148,12 +151,12 @@
 	return h, err
 }
 
-// steadyTime is the clock that leases of this instance go by. It counts on while the
-// process is stopped.
+// steadyTime returns the monotonic time since the host was created, which times the leases of
+// this instance. It advances while the process is stopped.
 func (h *Host) steadyTime() time.Duration { return time.Since(h.startedAt) }
 
-// Run serves until the context ends, then stops its runs and waits for them. Its error
-// is the disk's, or nil.
+// Run serves until the context is cancelled, then cancels the running duties and waits for
+// them, up to shutdownTimeout. It returns the error that stopped the member, if any.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -172,7 +175,7 @@
 	return g.Wait()
 }
 
-// mainLoop is the host's own goroutine: the only one that touches the member.
+// mainLoop runs in the only goroutine that uses the member.
 func (h *Host) mainLoop(ctx context.Context) error {
 	defer func() {
 		for _, r := range h.running {
@@ -182,7 +185,7 @@
 		go func() { h.runGroup.Wait(); close(done) }()
 		select {
 		case <-done:
-		case <-time.After(shutdownTimeout): // a run hangs: the process ends all the same
+		case <-time.After(shutdownTimeout): // don't let a hung run block the shutdown
 		}
 	}()
 	t := time.NewTicker(h.tickInterval)
@@ -196,7 +199,7 @@
 			h.handleTick(ticks)
 		case r := <-h.inbox:
 			h.handleFrame(r)
-			for k := len(h.inbox); k > 0; k-- { // one save for all that has come
+			for k := len(h.inbox); k > 0; k-- { // save once for all queued frames
 				h.handleFrame(<-h.inbox)
 			}
 		case r := <-h.runResults:
@@ -211,11 +214,11 @@
 	}
 }
 
-// handleTick is the passing of a tick.
+// handleTick advances the member and sends what is due at this tick.
 func (h *Host) handleTick(ticks int) {
 	h.member.Tick()
 	leader, _ := h.member.Leader()
-	if h.member.IsLeader() && ticks%5 == 0 { // the duties' clock, four times a lease
+	if h.member.IsLeader() && ticks%5 == 0 { // advance the duty clock four times per lease
 		h.heartbeats[h.cfg.Name] = h.steadyTime()
 		t := duty.Tick{Now: time.Duration(time.Now().UnixNano())}
 		for _, p := range h.cfg.Peers {
@@ -238,25 +241,25 @@
 			}
 		}
 	}
-	if ticks%200 == 0 { // a certificate that was renewed, or revoked
+	if ticks%200 == 0 { // picks up renewed and revoked certificates
 		if err := h.cfg.Credentials.Reload(); err != nil {
-			h.log.Error("cluster files not reread", "error", err)
+			h.log.Error("cannot reload the cluster credentials", "error", err)
 		}
 	}
 }
 
-// propose asks for an entry; what is refused or lost is asked for again by whoever
-// still misses it.
+// propose proposes an entry. A rejected or lost proposal is repeated by the caller that
+// still needs it.
 func (h *Host) propose(e duty.Entry) {
 	if err := h.member.Propose(e); err != nil && !errors.Is(err, ErrNoLeader) {
-		h.log.Debug("proposal refused", "entry", fmt.Sprintf("%T", e), "error", err)
+		h.log.Debug("proposal rejected", "entry", fmt.Sprintf("%T", e), "error", err)
 	}
 }
 
 func (h *Host) enqueue(to uint64, f Frame) {
 	select {
 	case h.outboxes[to] <- f:
-	default: // also a peer that is not listed
+	default: // the outbox is full, or the peer is not configured
 		h.counters.DroppedFrames++
 	}
 }
@@ -266,18 +269,18 @@
 	case FrameRaft:
 		m, err := r.frame.Raft()
 		if err == nil && m.GetFrom() != r.member && m.GetType() != pb.MsgProp && m.GetType() != pb.MsgReadIndex {
-			err = fmt.Errorf("%w: it says it is from member %d", ErrInvalidIdentity, m.GetFrom())
+			err = fmt.Errorf("%w: message claims to be from member %d", ErrInvalidIdentity, m.GetFrom())
 		}
 		if err == nil {
 			err = h.member.Step(m)
 		}
 		if err != nil && !errors.Is(err, ErrMemberFailed) {
-			h.log.Warn("message refused", "member", r.member, "error", err)
+			h.log.Warn("message rejected", "member", r.member, "error", err)
 		}
 	case FrameHeartbeat:
 		at, err := r.frame.Heartbeat()
 		if err != nil {
-			h.log.Warn("message refused", "member", r.member, "error", err)
+			h.log.Warn("message rejected", "member", r.member, "error", err)
 			return
 		}
 		for _, p := range h.cfg.Peers {
@@ -288,7 +291,8 @@
 	}
 }
 
-// processReady saves, sends, applies, and starts and stops what is to run.
+// processReady saves and applies pending updates, sends messages, and starts and cancels
+// duty runs.
 func (h *Host) processReady(ctx context.Context) error {
 	wasLeader := h.member.IsLeader()
 	out, err := h.member.ProcessReady()
@@ -298,7 +302,7 @@
 	if h.member.IsLeader() && !wasLeader {
 		h.counters.ElectionsWon++
 		_, term := h.member.Leader()
-		h.log.Info("leads", "term", term)
+		h.log.Info("became leader", "term", term)
 	}
 	for _, m := range out.Messages {
 		f, err := RaftFrame(m)
@@ -320,7 +324,7 @@
 		}
 	}
 	if !h.joined {
-		return nil // what the state says is of an earlier life
+		return nil // the state is that of an earlier incarnation
 	}
 	now, state := h.steadyTime(), h.member.State()
 	stop, hung := h.agent.Stop(now, state)
@@ -330,7 +334,7 @@
 	for _, c := range hung {
 		h.counters.Hung++
 		delete(h.running, c)
-		h.log.Error("duty hangs", "duty", c.Duty, "period", c.Period, "epoch", c.Epoch)
+		h.log.Error("duty run hangs", "duty", c.Duty, "period", c.Period, "epoch", c.Epoch)
 	}
 	for _, c := range h.agent.Repropose(now, state) {
 		h.counters.Reproposed++
@@ -353,7 +357,7 @@
 	return nil
 }
 
-// runRecovering runs a duty; what it does wrong is an error of that run.
+// runRecovering runs a duty and returns a panic as an error.
 func runRecovering(ctx context.Context, c duty.Claim, run func(context.Context, duty.Claim) error) (err error) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -364,7 +368,7 @@
 }
 
 func (h *Host) finishRun(r runResult) {
-	if h.running[r.claim] != r.run { // it was given up, and has come back
+	if h.running[r.claim] != r.run { // a run that was given up as hung has returned
 		h.agent.HungRunEnded(r.claim)
 		if r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone) {
 			return
@@ -375,10 +379,10 @@
 	switch {
 	case errors.Is(r.err, duty.ErrFenced):
 		h.counters.Fenced++
-		h.log.Info("duty fenced", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch)
+		h.log.Info("duty run fenced", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch)
 	case r.err != nil && !errors.Is(r.err, duty.ErrAlreadyDone):
 		h.counters.Failed++
-		h.log.Warn("duty failed", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch, "error", r.err)
+		h.log.Warn("duty run failed", "duty", r.claim.Duty, "period", r.claim.Period, "epoch", r.claim.Epoch, "error", r.err)
 	}
 	if h.agent.RunEnded(h.steadyTime(), r.claim, r.err) {
 		h.propose(duty.Done{Claim: r.claim})
@@ -392,7 +396,7 @@
 		Duties: s.Duties(), Members: s.Members(), Now: s.Now()}
 }
 
-// Status tells how the host stands.
+// Status returns the state of the host, or the context's error.
 func (h *Host) Status(ctx context.Context) (Status, error) {
 	c := make(chan Status, 1)
 	select {
@@ -403,9 +407,7 @@
 	}
 }
 
-// ---- sockets
-
-// acceptConns takes connections of other members.
+// acceptConns accepts connections from other members.
 func (h *Host) acceptConns(ctx context.Context, g *errgroup.Group) error {
 	slots := make(chan struct{}, maxInboundConns)
 	for {
@@ -414,9 +416,9 @@
 			return nil
 		}
 		if err != nil {
-			h.log.Warn("no connection taken", "error", err)
+			h.log.Warn("accept failed", "error", err)
 			select {
-			case <-time.After(reconnectBackoffMin): // out of descriptors, perhaps
+			case <-time.After(reconnectBackoffMin): // file descriptors may be exhausted
 				continue
 			case <-ctx.Done():
 				return nil
@@ -438,7 +440,7 @@
 	}
 }
 
-// serveConn reads what one member says until its connection ends.
+// serveConn reads the frames of one member until its connection ends.
 func (h *Host) serveConn(ctx context.Context, raw net.Conn) error {
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
@@ -463,10 +465,10 @@
 		return err
 	}
 	if hello.Member != identity.Member || hello.Installation != identity.Installation {
-		return fmt.Errorf("%w: member %d calls itself %d", ErrInvalidIdentity, identity.Member, hello.Member)
+		return fmt.Errorf("%w: hello from member %d claims member %d", ErrInvalidIdentity, identity.Member, hello.Member)
 	}
 	for {
-		// Beats come several times a lease; one who says nothing for long is gone.
+		// Frames arrive several times per lease; a connection without any is closed.
 		if err := c.SetReadDeadline(time.Now().Add(max(10*h.cfg.Lease, 10*time.Second))); err != nil {
 			return err
 		}
@@ -478,12 +480,12 @@
 		}
 		select {
 		case h.inbox <- inboundFrame{identity.Member, f}:
-		default: // the host is slower than the line: the log sends again what matters
+		default: // the host can't keep up; Raft resends what matters
 		}
 	}
 }
 
-// sendToPeer keeps a connection to a member and writes what is posted to it.
+// sendToPeer keeps a connection to a member open and sends the frames of its outbox.
 func (h *Host) sendToPeer(ctx context.Context, p Peer) {
 	backoff := reconnectBackoffMin
 	for ctx.Err() == nil {
@@ -491,8 +493,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		h.log.Debug("no connection to a member", "member", p.ID, "error", err)
-		for drained := false; !drained; { // what waited is of the past
+		h.log.Debug("no connection to member", "member", p.ID, "error", err)
+		for drained := false; !drained; { // queued frames are outdated
 			select {
 			case <-h.outboxes[p.ID]:
 			default:
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -15,60 +15,60 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-// Storage keeps what must survive. Save returns once all of it is durable; after an error
-// the member must not go on, since nobody knows what is there.
+// Storage persists a member's Raft state. Save returns once the whole batch is durable.
+// After an error the member must stop, since it is unknown what was stored.
 type Storage interface {
 	Load() (*StoredState, error)
 	Save(c *WriteBatch) error
 }
 
-// StoredState is what a disk holds.
+// StoredState is the content of a Storage.
 type StoredState struct {
 	HardState *pb.HardState
-	Snapshot  *pb.Snapshot // empty: none
-	Entries   []*pb.Entry  // after the snapshot, without a gap
+	Snapshot  *pb.Snapshot // empty if there is none
+	Entries   []*pb.Entry  // entries after the snapshot, without gaps
 }
 
-// WriteBatch is what is to be saved, all or nothing.
+// WriteBatch is a set of updates that are stored atomically.
 type WriteBatch struct {
 	HardState *pb.HardState // nil: unchanged
-	Snapshot  *pb.Snapshot  // nil: unchanged; entries up to it may go
-	Received  bool          // the snapshot is another's: all entries go
-	Entries   []*pb.Entry   // they replace all from the first one's index on
+	Snapshot  *pb.Snapshot  // nil: unchanged; entries up to its index may be deleted
+	Received  bool          // the snapshot came from another member: delete all entries
+	Entries   []*pb.Entry   // replace all stored entries from the first one's index on
 }
 
-// Config is what a member is made of.
+// Config is the configuration of a Member.
 type Config struct {
 	ID   uint64 // not 0
-	Name string // as the duties know it
-	// InitialMembers are the members of a new installation, the same at each of them; none
-	// for one that joins later. They count only while the disk is empty.
+	Name string // the member's name in the duty state
+	// InitialMembers are the members of a new installation, the same on each of them, and
+	// empty for a member that joins later. They are ignored unless the storage is empty.
 	InitialMembers []uint64
 	Duty           duty.Config
 	Storage        Storage
 	Log            *slog.Logger
-	// Rand decides when to stand for leader, and nothing else.
+	// Rand is used only to randomize election timeouts.
 	Rand *rand.Rand
-	// SnapshotEvery is how many applied entries bring a snapshot; 0: 1,024.
+	// SnapshotEvery is the number of applied entries between snapshots; 0 means 1,024.
 	SnapshotEvery uint64
 }
 
-// Times, in ticks of the host's.
+// Raft parameters. Times are in ticks of the host.
 const (
-	electionTicks       = 10 // silence of the leader after which a member may stand, up to twice that
+	electionTicks       = 10 // minimum election timeout; a random timeout is less than twice that
 	heartbeatTicks      = 2
-	trailingEntries     = 256 // behind a snapshot, for members that are a little behind
+	trailingEntries     = 256 // kept before a snapshot, for members that lag slightly
 	maxUncommittedBytes = 1 << 20
 )
 
 // Errors of a Member.
 var (
-	ErrNoLeader         = errors.New("cluster: no leader is known")
-	ErrMemberFailed     = errors.New("cluster: the member has stopped on an error of its disk")
-	ErrTooManyProposals = errors.New("cluster: too much is waiting to be agreed on")
+	ErrNoLeader         = errors.New("cluster: no known leader")
+	ErrMemberFailed     = errors.New("cluster: member stopped after a failure")
+	ErrTooManyProposals = errors.New("cluster: proposal dropped, too many uncommitted entries")
 )
 
-// Member is one instance's part of the log. It may be used by one goroutine at a time.
+// Member is the Raft node of one instance. It is not safe for concurrent use.
 type Member struct {
 	cfg             Config
 	node            *raft.RawNode
@@ -77,21 +77,21 @@
 	appliedIndex    uint64
 	snapshotIndex   uint64
 	confState       *pb.ConfState
-	confChanged     bool // the members have, since the last snapshot
-	electionElapsed int  // ticks since the leader was heard
-	electionTimeout int  // ticks of silence after which it stands
+	confChanged     bool // the members changed since the last snapshot
+	electionElapsed int  // ticks since the last message from the leader
+	electionTimeout int  // ticks without the leader after which the member campaigns
 	failure         error
 }
 
-// Output is what a step of work brings.
+// Output is the result of a ProcessReady.
 type Output struct {
-	Messages       []*pb.Message // after this, in any order, or never
-	Applied        []duty.Entry  // what the state has taken in since the last Work
-	ConfirmedReads []uint64      // tokens of reads that may be answered from the state now
+	Messages       []*pb.Message // to send, in any order; they may be lost
+	Applied        []duty.Entry  // entries applied since the last ProcessReady
+	ConfirmedReads []uint64      // tokens of the reads that can now be served from the state
 }
 
-// OpenMember makes a member from what its disk holds. A disk that can't be read is an error
-// that names what is wrong; nothing is served from it.
+// OpenMember restores a member from its storage. It returns an error that names the fault
+// if the storage can't be read.
 func OpenMember(cfg Config) (*Member, error) {
 	if cfg.SnapshotEvery == 0 {
 		cfg.SnapshotEvery = 1024
@@ -106,8 +106,8 @@
 	m := &Member{cfg: cfg, raftLog: raft.NewMemoryStorage(), state: duty.New(cfg.Duty), confState: &pb.ConfState{}}
 	fresh := raft.IsEmptyHardState(stored.HardState) && raft.IsEmptySnap(stored.Snapshot) && len(stored.Entries) == 0
 	if fresh && len(cfg.InitialMembers) > 0 {
-		// Founders begin from the same snapshot, at an index of its own: nothing is
-		// agreed on before there is a majority, but who it is of.
+		// The initial members start from the same snapshot, at its own index. Before there
+		// is a majority, only the set of voters is agreed on.
 		emptyState, err := m.state.Save()
 		if err != nil {
 			return nil, err
@@ -150,51 +150,51 @@
 	m.electionElapsed, m.electionTimeout = 0, electionTicks+m.cfg.Rand.IntN(electionTicks)
 }
 
-// State is the replicated state as far as it is applied here. It must not be changed.
+// State returns the replicated state as of AppliedIndex. The caller must not change it.
 func (m *Member) State() *duty.State { return m.state }
 
-// Leader says who leads as far as is known here, 0 if nobody, and in which term.
+// Leader returns the known leader, 0 if there is none, and the current term.
 func (m *Member) Leader() (id, term uint64) {
 	st := m.node.BasicStatus()
 	return st.Lead, st.GetTerm()
 }
 
-// IsLeader says whether this member is the leader.
+// IsLeader reports whether this member is the leader.
 func (m *Member) IsLeader() bool { return m.node.BasicStatus().RaftState == raft.StateLeader }
 
-// AppliedIndex is the index up to which the state is applied here.
+// AppliedIndex returns the index of the last entry applied to the state.
 func (m *Member) AppliedIndex() uint64 { return m.appliedIndex }
 
-// Tick is the passing of one unit of the host's time.
+// Tick advances the member's clock by one tick.
 //
-// When to stand for leader is timed here and not by the library, which draws from a
-// source that no seed decides.
+// Elections are timed here and not by the raft library, whose random source can't be
+// seeded.
 func (m *Member) Tick() {
 	if m.failure != nil {
 		return
 	}
 	if m.IsLeader() {
 		m.resetElectionTimer()
-		m.node.Tick() // heartbeats, and stepping down without a majority
+		m.node.Tick() // sends heartbeats; steps down without a majority
 		return
 	}
 	m.node.TickQuiesced()
 	if m.electionElapsed++; m.electionElapsed >= m.electionTimeout {
 		m.resetElectionTimer()
-		_ = m.node.Campaign() // refused for one that is no voter
+		_ = m.node.Campaign() // ignored by the library if this member is not a voter
 	}
 }
 
-// Step takes in a message of another member.
+// Step handles a message from another member.
 func (m *Member) Step(msg *pb.Message) error {
 	if m.failure != nil {
 		return ErrMemberFailed
 	}
 	if msg.GetTo() != m.cfg.ID {
-		return fmt.Errorf("cluster: a message for member %d", msg.GetTo())
+		return fmt.Errorf("cluster: message addressed to member %d", msg.GetTo())
 	}
 	if raft.IsLocalMsg(msg.GetType()) {
-		return fmt.Errorf("cluster: a message of type %v from outside", msg.GetType())
+		return fmt.Errorf("cluster: local message type %v from another member", msg.GetType())
 	}
 	term := m.node.BasicStatus().GetTerm()
 	switch msg.GetType() {
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// Propose asks for an entry to be agreed on. Without an error it may be, or not: it is
-// when it turns up in Applied.
+// Propose proposes an entry. A nil error doesn't mean that the entry will be committed:
+// it is committed once it appears in Output.Applied.
 func (m *Member) Propose(e duty.Entry) error {
 	b, err := EncodeEntry(e)
 	if err != nil {
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// ProposeConfChange asks for a change of the members: joint, so that no two majorities exist on
-// the way.
+// ProposeConfChange proposes a change of the members. It uses joint consensus, so that two
+// disjoint majorities never exist during the change.
 func (m *Member) ProposeConfChange(changes ...*pb.ConfChangeSingle) error {
 	if m.failure != nil {
 		return ErrMemberFailed
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// ReadIndex asks when the state here is as new as anything agreed on before now; the token
-// turns up in Reads then, or never.
+// ReadIndex requests a linearizable read. The token appears in Output.ConfirmedReads once
+// the state includes every entry committed before this call; the request may be lost.
 func (m *Member) ReadIndex(token uint64) error {
 	if m.failure != nil {
 		return ErrMemberFailed
@@ -262,16 +262,17 @@
 	return nil
 }
 
-// Voters returns who may vote and who only learns.
+// Voters returns the voting members and the learners.
 func (m *Member) Voters() (voters, learners []uint64) {
 	return m.confState.GetVoters(), m.confState.GetLearners()
 }
 
-// maxReadyRounds bounds one Work.
+// maxReadyRounds is the maximum number of Ready batches in one ProcessReady.
 const maxReadyRounds = 64
 
-// ProcessReady does what is due: saves, applies, and gives what is to be sent. An error of the
-// disk stops the member for good: what it may have promised is not known to be kept.
+// ProcessReady saves and applies pending updates and returns the messages to send. After
+// an error the member is stopped for good, since it may have made a promise, such as a
+// vote, that is not stored.
 func (m *Member) ProcessReady() (*Output, error) {
 	out := &Output{}
 	if m.failure != nil {
@@ -309,7 +310,7 @@
 		}
 		out.Messages = append(out.Messages, rd.Messages...)
 		for _, msg := range rd.Messages {
-			if msg.GetType() == pb.MsgSnap { // the link tells if it was lost; until then it counts as sent
+			if msg.GetType() == pb.MsgSnap { // counts as delivered unless the link reports its loss
 				m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 			}
 		}
@@ -329,7 +330,8 @@
 		}
 		m.node.Advance(rd)
 	}
-	// A member that joins ignores a snapshot that does not name it.
+	// After a membership change a snapshot is needed at once, since a joining member
+	// ignores a snapshot that doesn't list it.
 	if m.appliedIndex >= m.snapshotIndex+m.cfg.SnapshotEvery || m.confChanged && m.appliedIndex > m.snapshotIndex {
 		if err := m.createSnapshot(); err != nil {
 			return m.fail(out, err)
@@ -340,7 +342,7 @@
 
 func (m *Member) fail(out *Output, err error) (*Output, error) {
 	m.failure = fmt.Errorf("%w: %w", ErrMemberFailed, err)
-	out.Messages = nil // what was not saved must not be said
+	out.Messages = nil // nothing may be sent that was not saved
 	return out, m.failure
 }
 
@@ -351,14 +353,14 @@
 	switch e.GetType() {
 	case pb.EntryNormal:
 		if len(e.GetData()) == 0 {
-			break // a new leader's first
+			break // the empty entry that starts a leader's term
 		}
 		d, err := DecodeEntry(e.GetData())
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
 		if err := m.state.Apply(d); err != nil {
-			m.cfg.Log.Warn("entry without effect", "index", e.GetIndex(), "error", err) // the same everywhere
+			m.cfg.Log.Warn("log entry rejected by the duty state", "index", e.GetIndex(), "error", err) // deterministic, so the same on every member
 		}
 		out.Applied = append(out.Applied, d)
 	case pb.EntryConfChange:
@@ -378,7 +380,7 @@
 	return nil
 }
 
-// restoreSnapshot takes a snapshot's state.
+// restoreSnapshot replaces the state with that of a snapshot.
 func (m *Member) restoreSnapshot(s *pb.Snapshot) error {
 	state, err := duty.Load(m.cfg.Duty, s.GetData())
 	if err != nil {
@@ -388,7 +390,8 @@
 	return nil
 }
 
-// createSnapshot saves the state and lets the entries before it go, but for some.
+// createSnapshot stores a snapshot of the state and compacts the log, except for the last
+// trailingEntries entries.
 func (m *Member) createSnapshot() error {
 	b, err := m.state.Save()
 	if err != nil {
--- a/internal/cluster/pki.go
+++ b/internal/cluster/pki.go
@@ -25,44 +25,45 @@
 	"violetspan.example/violetspan/internal/strict"
 )
 
-// Names of the files of an identity, and their modes. The authority's key is needed to
-// sign only, and belongs on no serving machine.
+// File names and modes of an identity. The key of the certificate authority (CA) is needed
+// only to sign, and must not be on a serving machine.
 const (
 	FileCACert = "ca.crt"
 	FileCAKey  = "ca.key"
 	FileCert   = "member.crt"
 	FileKey    = "member.key"
-	// FileRevoked lists serial numbers of certificates that count no more, in
-	// hexadecimal, one a line.
+	// FileRevoked lists the serial numbers of revoked certificates, in hexadecimal, one
+	// per line.
 	FileRevoked = "revoked"
 
 	modeSecret = 0o600
 	modePublic = 0o644
 )
 
-// Validity of certificates.
+// Validity of certificates, and maximum size of a file.
 const (
 	CAValidity     = 10 * 365 * 24 * time.Hour
 	MemberValidity = 90 * 24 * time.Hour
 	maxFileBytes   = 1 << 20
-	backdate       = 5 * time.Minute // clocks of a new installation may differ by so much
+	backdate       = 5 * time.Minute // tolerates clock differences in a new installation
 )
 
-// Errors of identities.
+// Errors of identities. ErrInvalidIdentity reports a certificate that is not of this
+// installation or has expired, or a peer that is not the member it claims to be.
 var (
-	ErrKeyMode         = errors.New("cluster: a key that others can read")
-	ErrRevoked         = errors.New("cluster: a certificate that was revoked")
-	ErrInvalidIdentity = errors.New("cluster: a certificate that is not of this installation")
+	ErrKeyMode         = errors.New("cluster: private key is accessible to others")
+	ErrRevoked         = errors.New("cluster: revoked certificate")
+	ErrInvalidIdentity = errors.New("cluster: invalid identity")
 )
 
-// CA is the authority of one installation.
+// CA is the certificate authority of one installation.
 type CA struct {
 	Installation string
 	cert         *x509.Certificate
 	key          crypto.Signer
 }
 
-// Identity is what a certificate says of its holder.
+// Identity describes the holder of a certificate. Serial is hexadecimal.
 type Identity struct {
 	Installation string
 	Member       uint64
@@ -74,11 +75,11 @@
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 }
 
-// NewCA makes an authority and writes it into a folder; files that are there are never
-// replaced.
+// NewCA creates a certificate authority and writes it to a directory. It never replaces
+// existing files.
 func NewCA(dir, installation string, now time.Time) (*CA, error) {
 	if installation == "" || len(installation) > 64 || strings.ContainsAny(installation, "/ \t\n") {
-		return nil, fmt.Errorf("cluster: installation %q is no plain name", installation)
+		return nil, fmt.Errorf("cluster: invalid installation name %q", installation)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
@@ -107,7 +108,7 @@
 	return OpenCA(dir)
 }
 
-// createPEM writes a key or a certificate in PEM into a file that must not be there.
+// createPEM writes a key or a certificate in PEM to a new file; it fails if the file exists.
 func createPEM(path string, key *ecdsa.PrivateKey, cert []byte) error {
 	block, mode := &pem.Block{Type: "CERTIFICATE", Bytes: cert}, fs.FileMode(modePublic)
 	if key != nil {
@@ -134,7 +135,7 @@
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
 	if secret && st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%w: %s has mode %o, want %o", ErrKeyMode, path, st.Mode().Perm(), modeSecret)
+		return nil, fmt.Errorf("%w: %s has mode %o, expected %o", ErrKeyMode, path, st.Mode().Perm(), modeSecret)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -142,12 +143,12 @@
 	}
 	block, _ := pem.Decode(b)
 	if block == nil || block.Type != kind {
-		return nil, fmt.Errorf("cluster: %s holds no %s in PEM", path, kind)
+		return nil, fmt.Errorf("cluster: %s contains no %s in PEM", path, kind)
 	}
 	return block.Bytes, nil
 }
 
-// OpenCA reads an authority with its key.
+// OpenCA reads a certificate authority with its key.
 func OpenCA(dir string) (*CA, error) {
 	cert, err := readCert(filepath.Join(dir, FileCACert))
 	if err != nil {
@@ -184,12 +185,12 @@
 	return c, nil
 }
 
-// Issue makes a key and a certificate for a member and writes them, with the
-// authority's certificate, into a folder. A certificate that is there is replaced, in
-// one step each, so that a running instance renews its own under way.
+// Issue creates a key and a certificate for a member and writes them, with the CA's
+// certificate, to a directory. Each existing file is replaced atomically, so that a running
+// instance can renew its certificate.
 func (ca *CA) Issue(dir string, member uint64, now time.Time) error {
 	if member == 0 {
-		return errors.New("cluster: member 0 can't be")
+		return errors.New("cluster: invalid member number 0")
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -210,7 +211,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
-	// The pair in one file would be one step; two files are read until they fit.
+	// The key and the certificate are not replaced together: Reload fails on a mismatched
+	// pair, and a later one reads the matching pair.
 	for _, f := range []struct {
 		name string
 		key  *ecdsa.PrivateKey
@@ -218,7 +220,7 @@
 	}{{FileCACert, nil, ca.cert.Raw}, {FileKey, key, nil}, {FileCert, nil, der}} {
 		path := filepath.Join(dir, f.name)
 		tmp := path + ".new"
-		_ = os.Remove(tmp) // of an issue that was broken off
+		_ = os.Remove(tmp) // left by an interrupted Issue
 		if err := createPEM(tmp, f.key, f.cert); err != nil {
 			return err
 		}
@@ -231,39 +233,41 @@
 
 func memberName(member uint64) string { return "member-" + strconv.FormatUint(member, 10) }
 
-// Credentials are an instance's key and certificate, reread when their files change.
+// Credentials holds an instance's key and certificate, the CA's certificate and the
+// revocation list. Reload rereads them. It is safe for concurrent use.
 type Credentials struct {
 	dir string
 
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	pair         *tls.Certificate
 	leaf         *x509.Certificate
 	roots        *x509.CertPool
 	installation string
 	revoked      map[string]bool
 	contentHash  string
-	// Now is the wall clock; tests replace it.
+	// Now returns the wall-clock time; tests replace it.
 	Now func() time.Time
 }
 
-// OpenCredentials reads an instance's files.
+// OpenCredentials reads the credentials in an instance's directory.
 func OpenCredentials(dir string) (*Credentials, error) {
 	k := &Credentials{dir: dir, Now: time.Now}
 	return k, k.Reload()
 }
 
-// Reload reads the files anew if they have changed; with an error what was read before
-// counts on.
+// Reload rereads the files if they have changed. If it fails to read or parse them, the
+// previous credentials stay in use.
 func (k *Credentials) Reload() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// By content: two files of one size may be written within one tick of a file system.
+	// Compares contents: two files of the same size may be written within one timestamp
+	// tick of the file system.
 	hash := sha256.New()
 	for _, name := range []string{FileCACert, FileCert, FileKey, FileRevoked} {
 		path := filepath.Join(k.dir, name)
 		if st, err := os.Stat(path); err == nil {
 			b, err := strict.Read(path, maxFileBytes)
-			_, _ = fmt.Fprint(hash, name, st.Mode(), len(b), err) // a hash takes every write
+			_, _ = fmt.Fprint(hash, name, st.Mode(), len(b), err) // a hash never fails
 			_, _ = hash.Write(b)
 		}
 	}
@@ -311,26 +315,26 @@
 	return nil
 }
 
-// Identity is the instance's own.
+// Identity returns the instance's own identity.
 func (k *Credentials) Identity() (Identity, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.identify(k.leaf)
 }
 
-// identify reads a certificate's identity, and refuses one that is not of this
-// installation, is past its time or was revoked. The lock is held.
+// identify returns a certificate's identity. It rejects a certificate that is not of this
+// installation, has expired or is revoked. The caller holds mu.
 func (k *Credentials) identify(c *x509.Certificate) (Identity, error) {
 	id := Identity{Serial: c.SerialNumber.Text(16), NotAfter: c.NotAfter}
 	if _, err := c.Verify(x509.VerifyOptions{Roots: k.roots, CurrentTime: k.Now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}); err != nil {
 		return id, fmt.Errorf("%w: %w", ErrInvalidIdentity, err)
 	}
 	if len(c.URIs) != 1 || c.URIs[0].Scheme != "violetspan" || c.URIs[0].Host != k.installation {
-		return id, fmt.Errorf("%w: it names no member of %s", ErrInvalidIdentity, k.installation)
+		return id, fmt.Errorf("%w: certificate names no member of %s", ErrInvalidIdentity, k.installation)
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(c.URIs[0].Path, "/member/"), 10, 64)
 	if err != nil || n == 0 {
-		return id, fmt.Errorf("%w: it names no member", ErrInvalidIdentity)
+		return id, fmt.Errorf("%w: certificate names no member", ErrInvalidIdentity)
 	}
 	id.Installation, id.Member = k.installation, n
 	if k.revoked[id.Serial] {
@@ -339,30 +343,32 @@
 	return id, nil
 }
 
-// verifyPeer is asked for each connection, after the library has verified the chain.
+// verifyPeer returns the check of a connection's peer, which runs after crypto/tls has
+// verified the chain. wantMember 0 accepts any member.
 func (k *Credentials) verifyPeer(wantMember uint64) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
-			return fmt.Errorf("%w: none was shown", ErrInvalidIdentity)
+			return fmt.Errorf("%w: no certificate presented", ErrInvalidIdentity)
 		}
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		id, err := k.identify(s.PeerCertificates[0])
 		if err == nil && wantMember != 0 && id.Member != wantMember {
-			err = fmt.Errorf("%w: member %d answers in place of %d", ErrInvalidIdentity, id.Member, wantMember)
+			err = fmt.Errorf("%w: connected to member %d instead of %d", ErrInvalidIdentity, id.Member, wantMember)
 		}
 		return err
 	}
 }
 
-// PeerIdentity returns who is at the other end of a connection that was checked.
+// PeerIdentity returns the peer's identity on a connection whose handshake has completed.
 func (k *Credentials) PeerIdentity(s tls.ConnectionState) (Identity, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.identify(s.PeerCertificates[0])
 }
 
-// ServerConfig is the configuration of a listener; each connection takes the present files.
+// ServerConfig returns the TLS configuration of a listener. Each connection uses the
+// current credentials.
 func (k *Credentials) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		k.mu.Lock()
@@ -372,7 +378,7 @@
 	}}
 }
 
-// ClientConfig is the configuration of a connection to a member.
+// ClientConfig returns the TLS configuration of a connection to a member.
 func (k *Credentials) ClientConfig(member uint64) *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -380,8 +386,8 @@
 		ServerName: memberName(member), VerifyConnection: k.verifyPeer(member), Time: k.Now}
 }
 
-// Revoke adds a serial number to those that a member refuses. A running one rereads
-// the list within ten leases.
+// Revoke adds a serial number to the revocation list in a member's directory. A running
+// member rereads the list within ten leases.
 func Revoke(dir, serial string) error {
 	n, ok := new(big.Int).SetString(serial, 16)
 	if !ok || n.Sign() <= 0 {
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -11,25 +11,26 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// Store is a Disk on one file, which one process may hold at a time. A Save is one
-// transaction, durable when it returns. Every value carries its length and a checksum:
-// what was flipped or torn is found when it is read, and is an error that names the file;
-// nothing is served from it. It may be used by one goroutine at a time.
+// Store is a Storage in one file, which only one process may open at a time. A Save is
+// one transaction, durable when it returns. Every value is stored with its length and a
+// checksum: flipped bits and torn writes are detected on reading and returned as an error
+// that names the file, and none of its data is used. A Store is not safe for concurrent use.
 type Store struct {
 	path string
 	db   *bbolt.DB
 }
 
-// ErrCorrupt says that a store's file does not hold what was written. The member can't
-// come back from it: it is taken out of the installation and joins anew.
-var ErrCorrupt = errors.New("cluster: the store is corrupt")
+// ErrCorrupt reports that a store's file does not hold what was written. The member can't
+// recover from it: it must be removed from the installation and join again.
+var ErrCorrupt = errors.New("cluster: corrupt store")
 
-// ErrStoreMismatch says that a store's file is another member's, or of another form.
-var ErrStoreMismatch = errors.New("cluster: the store is not this member's")
+// ErrStoreMismatch reports that a store belongs to another member or has another format.
+var ErrStoreMismatch = errors.New("cluster: store of another member or format")
 
 var (
 	bucketMeta    = []byte("meta")
@@ -47,18 +48,18 @@
 	lockTimeout   = time.Second
 )
 
-// OpenStore opens or makes the store of a member. The file's mode is 0600.
+// OpenStore opens the store of a member and creates it, with mode 0600, if it does not exist.
 func OpenStore(path string, member uint64) (s *Store, err error) {
 	s = &Store{path: path}
 	defer s.recoverPanic(&err)
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // what points beyond the file's map
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a corrupt page may point beyond the memory map
 	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
 	if s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType}); err != nil {
 		switch {
-		case errors.Is(err, bbolt.ErrTimeout):
-			return nil, fmt.Errorf("cluster: %s: another process holds it", path)
+		case errors.Is(err, bolterrors.ErrTimeout):
+			return nil, fmt.Errorf("cluster: %s: locked by another process", path)
 		case errors.Is(err, os.ErrPermission), errors.Is(err, os.ErrNotExist):
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
@@ -90,16 +91,16 @@
 		return nil
 	})
 	if err != nil {
-		_ = s.db.Close() // the first error counts
+		_ = s.db.Close() // the first error is returned
 		return nil, err
 	}
 	return s, nil
 }
 
-// checkMetaPages checks both root pages of a file that is there. bbolt would fall back on the
-// older root if the newer one is spoilt, and so forget what was acknowledged last: a
-// vote, or an entry that counted for a majority. A root is 64 bytes, which disks write
-// whole; one that does not hold was spoilt, and is an error here.
+// checkMetaPages verifies both meta pages of an existing file. bbolt falls back to the
+// older meta page if the newer one is corrupt, and would lose what was acknowledged last:
+// a vote, or an entry that counted towards a majority. The meta data takes 64 bytes, which
+// disks write atomically, so an invalid one is corrupt and not the result of a torn write.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -112,19 +113,19 @@
 	for i := range 2 {
 		b := make([]byte, pageHeaderBytes+metaBytes)
 		if _, err := f.ReadAt(b, int64(i*os.Getpagesize())); err != nil {
-			return fmt.Errorf("%w: %s: root %d: %w", ErrCorrupt, path, i, err)
+			return fmt.Errorf("%w: %s: meta page %d: %w", ErrCorrupt, path, i, err)
 		}
 		m := b[pageHeaderBytes:]
 		h := fnv.New64a()
-		_, _ = h.Write(m[:metaBytes-8]) // a hash takes every write
+		_, _ = h.Write(m[:metaBytes-8]) // a hash never fails
 		if binary.NativeEndian.Uint32(m) != magic || binary.NativeEndian.Uint64(m[metaBytes-8:]) != h.Sum64() {
-			return fmt.Errorf("%w: %s: root %d has a wrong checksum", ErrCorrupt, path, i)
+			return fmt.Errorf("%w: %s: meta page %d has a wrong checksum", ErrCorrupt, path, i)
 		}
 	}
 	return nil
 }
 
-// recoverPanic turns a panic over a page that can't be into an error.
+// recoverPanic turns a panic of bbolt on an invalid page into an error.
 func (s *Store) recoverPanic(err *error) {
 	if x := recover(); x != nil {
 		*err = fmt.Errorf("%w: %s: %v", ErrCorrupt, s.path, x)
@@ -133,7 +134,7 @@
 
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// addChecksum adds a value's length and checksum in front of it.
+// addChecksum returns v with its length and checksum in front.
 func addChecksum(v []byte) []byte {
 	b := make([]byte, 8, 8+len(v))
 	binary.BigEndian.PutUint32(b, uint32(len(v)))
@@ -142,7 +143,7 @@
 	return b
 }
 
-// verifyChecksum takes a sealed value apart; what names it for an error.
+// verifyChecksum returns the value in the output of addChecksum. The label names it in errors.
 func (s *Store) verifyChecksum(b []byte, label string) ([]byte, error) {
 	if len(b) < 8 || int(binary.BigEndian.Uint32(b)) != len(b)-8 {
 		return nil, fmt.Errorf("%w: %s: %s has a wrong length", ErrCorrupt, s.path, label)
@@ -154,31 +155,31 @@
 	return v, nil
 }
 
-// Load reads all that the store holds, and checks that the log has no gap.
+// Load reads the whole store and checks that the log has no gaps.
 func (s *Store) Load() (k *StoredState, err error) {
 	defer s.recoverPanic(&err)
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file cut short under its map
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // the file may have been truncated after it was mapped
 	k = &StoredState{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if meta == nil || entries == nil {
-			return fmt.Errorf("%w: %s: a part is missing", ErrCorrupt, s.path)
+			return fmt.Errorf("%w: %s: a bucket is missing", ErrCorrupt, s.path)
 		}
 		if b := meta.Get(keyHardState); b != nil {
 			k.HardState = &pb.HardState{}
-			if err := s.readMessage(b, "the hard state", k.HardState); err != nil {
+			if err := s.readMessage(b, "hard state", k.HardState); err != nil {
 				return err
 			}
 		}
 		if b := meta.Get(keySnapshot); b != nil {
 			k.Snapshot = &pb.Snapshot{}
-			if err := s.readMessage(b, "the snapshot", k.Snapshot); err != nil {
+			if err := s.readMessage(b, "snapshot", k.Snapshot); err != nil {
 				return err
 			}
 		}
 		lastIndex := uint64(0)
 		if b := meta.Get(keyLastIndex); b != nil {
-			v, err := s.verifyChecksum(b, "the last entry's number")
+			v, err := s.verifyChecksum(b, "last index")
 			if err != nil {
 				return err
 			}
@@ -192,14 +193,14 @@
 				return err
 			}
 			if len(key) != 8 || binary.BigEndian.Uint64(key) != e.GetIndex() || e.GetIndex() != nextIndex {
-				return fmt.Errorf("%w: %s: %s is out of place, %d is wanted", ErrCorrupt, s.path, label, nextIndex)
+				return fmt.Errorf("%w: %s: %s is out of sequence, expected index %d", ErrCorrupt, s.path, label, nextIndex)
 			}
 			nextIndex++
 			k.Entries = append(k.Entries, e)
 			return nil
 		})
 		if err == nil && nextIndex-1 != max(lastIndex, k.Snapshot.GetMetadata().GetIndex()) {
-			err = fmt.Errorf("%w: %s: the log ends at %d, not at %d", ErrCorrupt, s.path, nextIndex-1, lastIndex)
+			err = fmt.Errorf("%w: %s: log ends at index %d, expected %d", ErrCorrupt, s.path, nextIndex-1, lastIndex)
 		}
 		return err
 	})
@@ -228,7 +229,7 @@
 	return b.Put(key, addChecksum(v))
 }
 
-// Save writes a change, all or nothing.
+// Save stores a batch atomically.
 func (s *Store) Save(c *WriteBatch) (err error) {
 	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -253,13 +254,13 @@
 				return err
 			}
 		}
-		entries.FillPercent = 0.9 // they come in order
+		entries.FillPercent = 0.9 // entries are appended in order
 		for _, e := range c.Entries {
 			if err := putMessage(entries, encodeUint64(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
-		// Kept apart from the entries: a spoilt branch of their tree may hide some.
+		// The last index is stored apart from the entries: a corrupt branch page may hide some.
 		switch {
 		case len(c.Entries) > 0:
 			return meta.Put(keyLastIndex, addChecksum(encodeUint64(c.Entries[len(c.Entries)-1].GetIndex())))
@@ -274,11 +275,11 @@
 	return err
 }
 
-// deleteEntries deletes entries from an index on, as long as they are wanted gone.
+// deleteEntries deletes entries from an index on, up to the first one that doesn't match.
 func deleteEntries(b *bbolt.Bucket, from uint64, matches func(i uint64) bool) error {
 	var keys [][]byte
 	cur := b.Cursor()
-	for k, _ := cur.Seek(encodeUint64(from)); k != nil && len(k) == 8 && matches(binary.BigEndian.Uint64(k)); k, _ = cur.Next() {
+	for k, _ := cur.Seek(encodeUint64(from)); len(k) == 8 && matches(binary.BigEndian.Uint64(k)); k, _ = cur.Next() {
 		keys = append(keys, append([]byte(nil), k...))
 	}
 	for _, k := range keys {
@@ -289,5 +290,5 @@
 	return nil
 }
 
-// Close lets the file go.
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -226,7 +226,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenStore(path, 1); err == nil || !strings.Contains(err.Error(), "another process holds it") {
+	if _, err := OpenStore(path, 1); err == nil || !strings.Contains(err.Error(), "locked by another process") {
 		t.Error(err)
 	}
 	if st, err := os.Stat(path); err != nil || st.Mode().Perm() != 0o600 {
