--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
-// Command wirehost runs the decision module on the simulator's wire, on standard
-// input and output. With -policy it runs a plain decider in its place, for
-// comparisons: even and direct are those of the emulated mesh.
+// Command wirehost serves the simulator's text protocol on standard input and output with
+// the routing controller. The flag -policy selects a simple policy of package mesh instead,
+// for comparison: even or direct.
 package main
 
 import (
@@ -16,12 +16,12 @@
 func main() {
 	policy := flag.String("policy", "module", "module, even or direct")
 	flag.Parse()
-	mk, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct}[*policy]
+	factory, ok := map[string]routing.Factory{"module": routing.NewPolicy, "even": mesh.Even, "direct": mesh.Direct}[*policy]
 	if !ok {
 		fmt.Fprintf(os.Stderr, "wirehost: -policy: %q is none of module, even and direct\n", *policy)
 		os.Exit(2)
 	}
-	if err := wire.Serve(os.Stdin, os.Stdout, os.Stderr, mk); err != nil {
+	if err := wire.Serve(os.Stdin, os.Stdout, os.Stderr, factory); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/callapi/link.go
+++ b/internal/callapi/link.go
@@ -82,9 +82,9 @@
 			return ev, errBad{err.Error()}
 		}
 	case typeRefused:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Refused, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.Outcome{Result: routing.Refused, Cause: cause}
 	case typeFailed:
-		ev.Kind, ev.End = trunk.End, core.End{Result: routing.Failed, Cause: cause}
+		ev.Kind, ev.End = trunk.End, core.Outcome{Result: routing.Failed, Cause: cause}
 	case typeReleased:
 		ev.Kind, ev.End.Result = trunk.End, routing.Ended
 		if m.Reason == reasonCut {
@@ -92,13 +92,13 @@
 		}
 	case typeGroup:
 		if m.Free == nil || m.Size == nil || *m.Free < 0 || *m.Size < *m.Free {
-			ev.Note = errors.New("group: free and size are wanted")
+			ev.Warning = errors.New("group: free and size are wanted")
 			return ev, nil
 		}
 		ev.Kind, ev.Report = trunk.Group, routing.NoReport
 		ev.Report.Free, ev.Report.Size = *m.Free, *m.Size
 	case typeError:
-		ev.Note = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
+		ev.Warning = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
 	default:
 		return ev, errBad{fmt.Sprintf("type: %q is no message of a switch", clip(m.Type))}
 	}
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		p.t.Fatalf("instance %d: %v", i+1, err)
 	}
-	p.links.At(uint64(i+1), strings.TrimSpace(addr))
+	p.links.SetAddr(uint64(i+1), strings.TrimSpace(addr))
 	p.cmds[i], p.stdins[i] = cmd, in
 }
 
@@ -305,10 +305,10 @@
 			if faultKind == 2 {
 				for j := uint64(1); j <= n; j++ {
 					if oneWay && j != other { // what it says reaches nobody but one; it hears all
-						links.Cut(self, j, true)
+						links.SetCut(self, j, true)
 					} else if !oneWay {
-						links.Cut(self, j, true)
-						links.Cut(j, self, true)
+						links.SetCut(self, j, true)
+						links.SetCut(j, self, true)
 					}
 				}
 			}
@@ -320,8 +320,8 @@
 				_ = p.cmds[i].Process.Signal(syscall.SIGCONT)
 			default:
 				for j := uint64(1); j <= n; j++ {
-					links.Cut(self, j, false)
-					links.Cut(j, self, false)
+					links.SetCut(self, j, false)
+					links.SetCut(j, self, false)
 				}
 			}
 		})
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -29,17 +29,17 @@
 
 // Inventory is what a file holds.
 type Inventory struct {
-	Switches []core.Member
+	Switches []core.Switch
 	Tenants  []tenant.Spec
 	// Plan is what a plan needs: yards, capacities, groups, classes, shares, demand.
 	// Its switches are all of Switches; those without a capacity bear nothing.
 	Plan plan.Problem
 }
 
-// Faults is every fault of a file, in the order of its lines.
-type Faults []error
+// Errors is every fault of a file, in the order of its lines.
+type Errors []error
 
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	if len(f) == 1 {
 		return f[0].Error()
 	}
@@ -47,7 +47,7 @@
 }
 
 // Unwrap returns them.
-func (f Faults) Unwrap() []error { return f }
+func (f Errors) Unwrap() []error { return f }
 
 const maxFile = 8 << 20
 
@@ -109,7 +109,7 @@
 	slices.SortStableFunc(r.faults, func(a, b fault) int {
 		return cmp.Or(slices.Index(r.files, a.file)-slices.Index(r.files, b.file), a.line-b.line)
 	})
-	var all Faults
+	var all Errors
 	for _, f := range r.faults {
 		all = append(all, f.err)
 	}
@@ -258,7 +258,7 @@
 }
 
 func (r *reader) addSwitch(e entry) error {
-	m := core.Member{ID: e.id}
+	m := core.Switch{ID: e.id}
 	var line int
 	if m.Addr, line = e.at("address"); m.Addr == "" {
 		return r.bad(line, "address", "missing")
@@ -271,7 +271,7 @@
 	if err != nil || n < 0 {
 		return r.bad(line, "exchange", fmt.Sprintf("%q is not a whole number from 0", text))
 	}
-	m.Number = n
+	m.Exchange = n
 	status, sline := e.at("status")
 	var ok bool
 	if m.State, ok = states[status]; !ok {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -82,9 +82,9 @@
 	Reread func() (*config.Platform, error)
 
 	core    *core.Core
-	front   *platform.Front
-	channel *platform.Channel
-	api     *callapi.Front
+	front   *platform.Server
+	channel *platform.CommandChannel
+	api     *callapi.Server
 	tenants *tenant.Registry
 	planner *planner.Loop // nil: off
 	reload  sync.Mutex
@@ -148,11 +148,11 @@
 
 	p.enter(Grace)
 	exit := time.Now().Add(p.longestDeadline() + killAfter - exitBefore)
-	p.core.Caution() // what stands at silent switches is verified before nobody knows of it
+	p.core.ProbeEarly() // what stands at silent switches is verified before nobody knows of it
 	p.serveFor(life, hup, graceFor)
 
 	p.enter(Finishing)
-	p.core.Stop()
+	p.core.StopAccepting()
 	if p.front != nil {
 		p.front.Drain()
 	}
@@ -236,18 +236,18 @@
 	}
 	answers, cancel := context.WithDeadline(life, answered)
 	defer cancel()
-	if p.core.Settle(answers, false) != nil {
+	if p.core.WaitForCalls(answers, false) != nil {
 		unanswered, _ := p.core.Counts()
 		p.log.Warn("calls failed at the end", "unanswered", unanswered)
 		p.core.FailUnanswered()
 	}
 	releases, cancel := context.WithDeadline(life, exit.Add(-unprovenFor))
 	defer cancel()
-	_ = p.core.Settle(releases, true) // what is left is told below
+	_ = p.core.WaitForCalls(releases, true) // what is left is told below
 	last, cancel := context.WithDeadline(life, exit)
 	defer cancel()
-	_ = p.core.Settle(last, false) // logged below
-	p.core.EndUnproven(last)
+	_ = p.core.WaitForCalls(last, false) // logged below
+	p.core.EndUnverifiedCalls(last)
 	if unanswered, standing := p.core.Counts(); unanswered+standing > 0 {
 		p.log.Info("calls left at the end", "unanswered", unanswered, "standing", standing)
 	}
@@ -276,9 +276,9 @@
 	set, opt := p.settings(life)
 	if p.service != nil && p.service.Plan != nil {
 		ps := *p.service.Plan
-		ps.Here = set.Brain.OwnExchange
-		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.Plan(e, until) })
-		opt.Seen = func(s *core.SetUp) { p.planner.Count(s.ClassName, s.Dest) }
+		ps.OwnExchange = set.Brain.OwnExchange
+		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.ApplyPlan(e, until) })
+		opt.OnAccepted = func(s *core.SetUp) { p.planner.CountCall(s.ClassName, s.Dest) }
 		g.Go(func() error { return p.planner.Run(life) })
 	}
 	if p.core, err = core.New(life, opt); err != nil {
@@ -287,14 +287,14 @@
 	p.gauges()
 	g.Go(func() error { return p.logMetrics(life) })
 	if pf := p.platform; pf != nil {
-		p.front.Calls = p.core
-		known, err := platform.ReadEvents(pf.Known)
+		p.front.Handler = p.core
+		known, err := platform.ParseEvents(pf.Known)
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewChannel(pf.Channel, p.core.List, p.log, p.count)
-		p.channel.Missing = p.core.Caution
-		p.channel.Take(known)
+		p.channel = platform.NewCommandChannel(pf.Channel, p.core.ApplyList, p.log, p.count)
+		p.channel.OnPollFailure = p.core.ProbeEarly
+		p.channel.Apply(known)
 		ln, err := platform.Listen(life, pf.Listen)
 		if err != nil {
 			return stop, fmt.Errorf("key listen: %w", err)
@@ -309,14 +309,14 @@
 
 	if sv := p.service; sv != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Front{Calls: p.core, Tenants: p.tenants, Log: p.log, Keep: sv.KeepAnswers,
-			MaxKept: sv.MaxKept, MaxSize: maxKeptBytes, Dests: maxPools, Classes: map[string]callapi.Class{}}
+		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
+			MaxStoredCalls: sv.MaxKept, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.Bounds()
-			p.api.MaxKept, p.api.MaxSize = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxKept, b.Kept), min(maxKeptBytes, b.KeptBytes)
 		}
 		for name, i := range set.Classes {
-			p.api.Classes[name] = callapi.Class{Place: i, Width: set.Brain.Classes[i].Width}
+			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Brain.Classes[i].Width}
 		}
 		if err := p.loadInventory(); err != nil {
 			return stop, err
@@ -330,7 +330,7 @@
 		p.APIAddr = addr
 		closers = append(closers, p.api.Close, shut)
 		if sv.AdminListen != "" {
-			a := &admin.Server{TokenHash: sv.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Members,
+			a := &admin.Server{TokenHash: sv.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Switches,
 				Status: p.status, Reload: p.reloadInventory, Disconnect: p.api.Disconnect, Log: p.log, Metrics: p.count.Gatherer()}
 			addr, shut, err := p.listenHTTP(life, g, "admin.listen", sv.AdminListen, adminConns, a.Handler())
 			if err != nil {
@@ -350,15 +350,15 @@
 	if pf := p.platform; pf != nil {
 		set, opt.Seed = &pf.Settings, pf.Seed
 		bounds := pf.Bounds()
-		p.front = platform.NewFront(form(set), bounds.Conns, bounds.Open, p.log, p.count)
-		opt.UnknownRelease, opt.MaxCalls = p.front.UnknownRelease, bounds.Calls
+		p.front = platform.NewServer(form(set), bounds.Conns, bounds.Open, p.log, p.count)
+		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.Calls
 	} else {
 		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
 		opt.MaxCalls = min(set.OpenCap, maxCalls)
 	}
 	opt.Settings = set.Brain
-	times := trunk.Times{Dial: set.DialTimeout, Silence: set.Silence(), Rest: set.Brain.ReleaseDelay}
-	opt.Open = func(m core.Member, peer *core.Peer) (core.Link, error) {
+	times := trunk.Timeouts{Dial: set.DialTimeout, Silence: set.Silence(), ReleaseBackoff: set.Brain.ReleaseDelay}
+	opt.OpenLink = func(m core.Switch, peer *core.SwitchHandler) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
 		if inventory.IsURL(m.Addr) {
 			dial = callapi.Dial
@@ -379,10 +379,10 @@
 }
 
 // form is what set-ups on the platform must look like by the settings.
-func form(set *config.Settings) platform.Form {
-	f := platform.Form{Classes: map[string]platform.Class{}, Tenants: set.Tenants, Dests: dests(set)}
+func form(set *config.Settings) platform.SetUpRules {
+	f := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: set.Tenants, DestCount: dests(set)}
 	for name, i := range set.Classes {
-		k := platform.Class{Place: i, MaxWait: set.Brain.Classes[i].Deadline}
+		k := platform.Class{Index: i, MaxWait: set.Brain.Classes[i].Deadline}
 		if set.Widths {
 			k.Width = set.Brain.Classes[i].Width
 		}
@@ -427,7 +427,7 @@
 		if pf, err = p.Reread(); err != nil {
 			return err
 		}
-		if known, err = platform.ReadEvents(pf.Known); err != nil {
+		if known, err = platform.ParseEvents(pf.Known); err != nil {
 			return fmt.Errorf("key known: %w", err)
 		}
 	}
@@ -468,15 +468,15 @@
 		return fmt.Errorf("%s: %w", p.service.Inventory, err)
 	}
 	p.cert.Store(cert)
-	p.core.List(core.List{Source: "inventory", Full: true, Members: inv.Switches, Graceful: true})
+	p.core.ApplyList(core.SwitchList{Source: "inventory", Full: true, Switches: inv.Switches, Graceful: true})
 	if p.planner != nil {
 		ids := map[int]string{}
 		for _, m := range inv.Switches {
-			if _, twice := ids[m.Number]; !twice || m.State == routing.Ready {
-				ids[m.Number] = m.ID
+			if _, twice := ids[m.Exchange]; !twice || m.State == routing.Ready {
+				ids[m.Exchange] = m.ID
 			}
 		}
-		if err := p.planner.Inventory(&inv.Plan, ids); err != nil {
+		if err := p.planner.SetInventory(&inv.Plan, ids); err != nil {
 			p.log.Error("plan not taken", "file", p.service.Plan.File, "error", err)
 		}
 	}
@@ -486,5 +486,5 @@
 
 func (p *Proxy) status() admin.Status {
 	unanswered, standing := p.core.Counts()
-	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Standing: standing}
+	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Established: standing}
 }
