--- a/internal/cluster/entry.go
+++ b/internal/cluster/entry.go
@@ -73,18 +73,18 @@
 	if len(b) > MaxEntryBytes {
 		return nil, fmt.Errorf("cluster: entry of %d bytes exceeds the maximum of %d", len(b), MaxEntryBytes)
 	}
-	var decoded envelope
-	if err := lenientJSON.Unmarshal(b, &decoded); err != nil {
+	var env envelope
+	if err := lenientJSON.Unmarshal(b, &env); err != nil {
 		return nil, fmt.Errorf("cluster: decode entry: %w", err)
 	}
-	decode := entryDecoders[decoded.Kind]
+	decode := entryDecoders[env.Kind]
 	switch {
-	case decoded.V > entryVersion:
-		return nil, fmt.Errorf("%w: entry version %d", ErrUnsupportedVersion, decoded.V)
-	case decoded.V < 1 || decode == nil:
-		return nil, fmt.Errorf("cluster: unknown entry version %d or kind %q", decoded.V, decoded.Kind)
+	case env.V > entryVersion:
+		return nil, fmt.Errorf("%w: entry version %d", ErrUnsupportedVersion, env.V)
+	case env.V < 1 || decode == nil:
+		return nil, fmt.Errorf("cluster: unknown entry version %d or kind %q", env.V, env.Kind)
 	}
-	e, err := decode(decoded.Body)
+	e, err := decode(env.Body)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: decode entry: %w", err)
 	}
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -33,9 +33,11 @@
 
 // Frame types.
 const (
-	FrameHello     FrameType = 1 // first frame on a connection: the sender's identity and version
-	FrameRaft      FrameType = 2 // a Raft message
-	FrameHeartbeat FrameType = 3 // to the leader: when it was sent, by the sender's monotonic clock; renews the sender's duty lease
+	FrameHello FrameType = 1 // first frame on a connection: the sender's identity and version
+	FrameRaft  FrameType = 2 // a Raft message
+	// FrameHeartbeat is sent to the leader, to renew the sender's duty lease. It holds the
+	// time of sending by the sender's monotonic clock.
+	FrameHeartbeat FrameType = 3
 )
 
 // Frame is a decoded frame; its major version is FrameMajor.
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -74,7 +74,7 @@
 	agent       *duty.Agent
 	incarnation uint64
 	joined      bool
-	heartbeats  map[string]time.Duration
+	heartbeats  map[string]time.Duration // by member name: latest since the last duty tick, by that member's clock
 	running     map[duty.Claim]*run
 	runGroup    sync.WaitGroup
 	counters    Counters
@@ -98,7 +98,7 @@
 type Counters struct {
 	Runs, Failed, Fenced, Reproposed int
 	Hung                             int // runs that did not return after they were cancelled
-	DroppedFrames                    int // outbound frames dropped for lack of queue space or an unknown peer
+	DroppedFrames                    int // outbound frames to a full outbox or an unknown peer
 	ElectionsWon                     int // times that the member became leader
 }
 
@@ -131,7 +131,8 @@
 	if id.Member != cfg.ID {
 		return nil, fmt.Errorf("%w: certificate of member %d, not %d", ErrInvalidIdentity, id.Member, cfg.ID)
 	}
-	h := &Host{cfg: cfg, log: cfg.Log, tickInterval: cfg.Lease / 20, startedAt: time.Now(), inbox: make(chan inboundFrame, inboxSize), runResults: make(chan runResult, cfg.MaxConcurrentRuns),
+	h := &Host{cfg: cfg, log: cfg.Log, tickInterval: cfg.Lease / 20, startedAt: time.Now(),
+		inbox: make(chan inboundFrame, inboxSize), runResults: make(chan runResult, cfg.MaxConcurrentRuns),
 		outboxes: map[uint64]chan Frame{}, statusRequests: make(chan chan Status), heartbeats: map[string]time.Duration{}, running: map[duty.Claim]*run{},
 		incarnation: uint64(time.Now().UnixNano())}
 	var initialMembers []uint64
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -26,17 +26,18 @@
 )
 
 var (
-	chaosFlag = flag.Duration("chaos", 12*time.Second, "how long TestProcesses breaks things")
-	leaseFlag = flag.Duration("lease", time.Second, "lease of TestProcesses' instances")
+	chaosFlag = flag.Duration("chaos", 12*time.Second, "how long TestProcesses injects faults")
+	leaseFlag = flag.Duration("lease", time.Second, "lease of the instances in TestProcesses")
 )
 
-// The test binary is also the instance that the test starts, kills and stops.
+// instanceEnv holds the configuration with which the test binary runs as an instance, as a
+// child process that the test starts, kills and stops.
 const instanceEnv = "VIOLETSPAN_TEST_INSTANCE"
 
 type instanceConfig struct {
 	ID     uint64
 	Dir    string
-	Peers  []Peer // each by the way that the test may cut
+	Peers  []Peer // each by the address of a link that the test can cut
 	Sink   string
 	Duties []duty.Spec
 	Lease  time.Duration
@@ -53,27 +54,27 @@
 	os.Exit(m.Run())
 }
 
-// runInstance runs one member until its input ends.
+// runInstance runs one member until its standard input is closed.
 func runInstance(text string) error {
 	var cfg instanceConfig
 	if err := json.Unmarshal([]byte(text), &cfg); err != nil {
 		return err
 	}
-	keys, err := OpenCredentials(cfg.Dir)
+	credentials, err := OpenCredentials(cfg.Dir)
 	if err != nil {
 		return err
 	}
-	disk, err := OpenStore(filepath.Join(cfg.Dir, "store"), cfg.ID)
+	store, err := OpenStore(filepath.Join(cfg.Dir, "store"), cfg.ID)
 	if err != nil {
 		return err
 	}
-	defer disk.Close()
+	defer store.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	name := memberName(cfg.ID)
-	h, err := NewHost(HostConfig{ID: cfg.ID, Name: name, Credentials: keys, Listener: ln, Peers: cfg.Peers, Bootstrap: true, Storage: disk, Duties: cfg.Duties, Lease: cfg.Lease,
+	h, err := NewHost(HostConfig{ID: cfg.ID, Name: name, Credentials: credentials, Listener: ln, Peers: cfg.Peers, Bootstrap: true, Storage: store, Duties: cfg.Duties, Lease: cfg.Lease,
 		Run: func(ctx context.Context, cl duty.Claim) error { return submitClaim(ctx, cfg.Sink, name, cl) },
 		Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	if err != nil {
@@ -83,20 +84,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		_, _ = io.Copy(io.Discard, os.Stdin) // the test has gone
+		_, _ = io.Copy(io.Discard, os.Stdin) // the test process has exited
 		cancel()
 	}()
 	return h.Run(ctx)
 }
 
-// sinkRequest is what an instance asks the sink.
+// sinkRequest is the request of an instance to the sink.
 type sinkRequest struct {
 	Name  string
 	Claim duty.Claim
 }
 
-// submitClaim asks the sink over a connection of its own.
-func submitClaim(ctx context.Context, addr, member string, c duty.Claim) error {
+// submitClaim sends a claim to the sink over a new connection.
+func submitClaim(ctx context.Context, addr, name string, c duty.Claim) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -105,7 +106,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := json.NewEncoder(conn).Encode(sinkRequest{member, c}); err != nil {
+	if err := json.NewEncoder(conn).Encode(sinkRequest{name, c}); err != nil {
 		return err
 	}
 	answer, err := bufio.NewReader(conn).ReadString('\n')
@@ -120,7 +121,7 @@
 	return fmt.Errorf("sink: %q, %w", answer, err)
 }
 
-// sinkServer is the place where effects land, with its fence.
+// sinkServer records the effects of duties behind a fence.
 type sinkServer struct {
 	ln net.Listener
 
@@ -171,7 +172,7 @@
 	}
 }
 
-// processes are the instances as processes.
+// processes holds the child processes, one per instance.
 type processes struct {
 	t       *testing.T
 	configs []string
@@ -205,18 +206,18 @@
 }
 
 func (p *processes) kill(i int) {
-	_ = p.cmds[i].Process.Kill() // it may have ended by itself, which Wait tells
+	_ = p.cmds[i].Process.Kill() // fails if it has exited already
 	_ = p.cmds[i].Wait()
 	p.stdins[i].Close()
 }
 
-// Seven real processes on loopback, killed, stopped and cut off from each other at
-// random: each duty's every period is done once, and soon by another when its owner
-// is gone. One machine, an ordinary user; -chaos 60s for the long form.
+// Seven processes on loopback are killed, stopped and cut off from each other at random.
+// Every period of each duty must be done exactly once, and another instance must take over
+// soon after the owner fails. It needs no privileges; -chaos 60s runs a longer test.
 func TestProcesses(t *testing.T) {
-	const n = 7
+	const instances = 7
 	seed := uint64(1)
-	r := rand.New(rand.NewPCG(seed, 2))
+	random := rand.New(rand.NewPCG(seed, 2))
 	ca, _ := newInstallation(t, "tran")
 	sink := newSinkServer(t)
 	links := standin.NewLinks()
@@ -230,14 +231,14 @@
 		t.Fatal(err)
 	}
 	defer logs.Close()
-	p := &processes{t: t, links: links, cmds: make([]*exec.Cmd, n), stdins: make([]io.WriteCloser, n), logs: logs}
-	for i := range uint64(n) {
+	p := &processes{t: t, links: links, cmds: make([]*exec.Cmd, instances), stdins: make([]io.WriteCloser, instances), logs: logs}
+	for i := range uint64(instances) {
 		dir := filepath.Join(t.TempDir(), "member")
 		if err := ca.Issue(dir, i+1, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		c := instanceConfig{ID: i + 1, Dir: dir, Sink: sink.ln.Addr().String(), Duties: duties, Lease: *leaseFlag}
-		for j := range uint64(n) {
+		for j := range uint64(instances) {
 			peer := Peer{ID: j + 1, Name: memberName(j + 1)}
 			if i != j {
 				if peer.Addr, err = links.Open(i+1, j+1); err != nil {
@@ -252,16 +253,16 @@
 		}
 		p.configs = append(p.configs, string(b))
 	}
-	for i := range n {
+	for i := range instances {
 		p.start(i)
 	}
 	defer func() {
-		for i := range n {
-			_ = p.cmds[i].Process.Signal(syscall.SIGCONT) // one that was killed is beyond it
+		for i := range instances {
+			_ = p.cmds[i].Process.Signal(syscall.SIGCONT) // fails for a killed process
 			p.kill(i)
 		}
 	}()
-	time.Sleep(2*time.Second + 2**leaseFlag) // a leader, joins, duties
+	time.Sleep(2*time.Second + 2**leaseFlag) // to elect a leader, join and register the duties
 	type outage struct {
 		name string
 		at   time.Time
@@ -269,14 +270,14 @@
 	var outages []outage
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	disrupted := make([]bool, n)
-	pickMember := func() int { // one to break, so that four of seven are always well
+	disrupted := make([]bool, instances)
+	pickMember := func() int { // a member to disrupt; four of seven are always healthy
 		mu.Lock()
 		defer mu.Unlock()
 		if c := slices.DeleteFunc(slices.Clone(disrupted), func(b bool) bool { return !b }); len(c) >= 3 {
 			return -1
 		}
-		i := r.IntN(n)
+		i := random.IntN(instances)
 		if disrupted[i] {
 			return -1
 		}
@@ -284,15 +285,15 @@
 		return i
 	}
 	faultCounts := map[string]int{}
-	for end := time.Now().Add(*chaosFlag); time.Now().Before(end); time.Sleep(time.Duration(300+r.IntN(900)) * time.Millisecond) {
+	for end := time.Now().Add(*chaosFlag); time.Now().Before(end); time.Sleep(time.Duration(300+random.IntN(900)) * time.Millisecond) {
 		i := pickMember()
 		if i < 0 {
 			continue
 		}
-		faultKind, duration := r.IntN(3), time.Duration(1500+r.IntN(2500))*time.Millisecond
+		faultKind, duration := random.IntN(3), time.Duration(1500+random.IntN(2500))*time.Millisecond
 		faultCounts[[]string{"killed", "stopped", "cut off"}[faultKind]]++
 		outages = append(outages, outage{memberName(uint64(i + 1)), time.Now()})
-		other, oneWay := uint64(1+r.IntN(n)), r.IntN(2) == 0
+		other, oneWay := uint64(1+random.IntN(instances)), random.IntN(2) == 0
 		switch faultKind {
 		case 0:
 			p.kill(i)
@@ -303,8 +304,8 @@
 			defer func() { mu.Lock(); disrupted[i] = false; mu.Unlock() }()
 			self := uint64(i + 1)
 			if faultKind == 2 {
-				for j := uint64(1); j <= n; j++ {
-					if oneWay && j != other { // what it says reaches nobody but one; it hears all
+				for j := uint64(1); j <= instances; j++ {
+					if oneWay && j != other { // can send to only one member, but receives from all
 						links.SetCut(self, j, true)
 					} else if !oneWay {
 						links.SetCut(self, j, true)
@@ -319,7 +320,7 @@
 			case 1:
 				_ = p.cmds[i].Process.Signal(syscall.SIGCONT)
 			default:
-				for j := uint64(1); j <= n; j++ {
+				for j := uint64(1); j <= instances; j++ {
 					links.SetCut(self, j, false)
 					links.SetCut(j, self, false)
 				}
@@ -336,12 +337,12 @@
 		effectsByDuty[e.claim.Duty] = append(effectsByDuty[e.claim.Duty], e)
 	}
 	if len(effectsByDuty) != len(duties) {
-		t.Errorf("%d of %d duties were ever done", len(effectsByDuty), len(duties))
+		t.Errorf("%d of %d duties were done at least once", len(effectsByDuty), len(duties))
 	}
-	for name, es := range effectsByDuty {
+	for name, effects := range effectsByDuty {
 		doneCounts := map[int64]int{}
-		low, high := es[0].claim.Period, es[0].claim.Period
-		for _, e := range es {
+		low, high := effects[0].claim.Period, effects[0].claim.Period
+		for _, e := range effects {
 			doneCounts[e.claim.Period]++
 			low, high = min(low, e.claim.Period), max(high, e.claim.Period)
 		}
@@ -350,26 +351,26 @@
 				t.Errorf("%s: period %d done %d times", name, k, doneCounts[k])
 			}
 		}
-		if last := es[len(es)-1].at; last.Before(faultsEnded.Add(2*time.Second + *leaseFlag)) {
+		if last := effects[len(effects)-1].at; last.Before(faultsEnded.Add(2*time.Second + *leaseFlag)) {
 			t.Errorf("%s: not done since %v before the end", name, time.Since(last).Round(time.Millisecond))
 		}
 	}
-	// How long a duty of an instance that is gone waits for another's first effect.
+	// Time from an instance's outage to the first effect of the instance that takes a duty over.
 	var takeovers []time.Duration
 	for _, g := range outages {
-		for _, es := range effectsByDuty {
-			k := slices.IndexFunc(es, func(e recordedEffect) bool { return e.at.After(g.at) })
-			if k <= 0 || es[k-1].name != g.name || es[k].name == g.name {
+		for _, effects := range effectsByDuty {
+			k := slices.IndexFunc(effects, func(e recordedEffect) bool { return e.at.After(g.at) })
+			if k <= 0 || effects[k-1].name != g.name || effects[k].name == g.name {
 				continue
 			}
-			takeovers = append(takeovers, es[k].at.Sub(g.at))
+			takeovers = append(takeovers, effects[k].at.Sub(g.at))
 		}
 	}
 	slices.Sort(takeovers)
 	if len(takeovers) == 0 {
-		t.Fatal("nothing was ever taken over")
+		t.Fatal("no duty was taken over")
 	}
-	t.Logf("%v; %d effects, %d fenced, %d found done; %d takeovers: p50 %v, p99 %v, most %v", faultCounts, len(sink.effects), sink.fenced, sink.repeats, len(takeovers),
+	t.Logf("%v; %d effects, %d fenced, %d already done; %d takeovers: p50 %v, p99 %v, max %v", faultCounts, len(sink.effects), sink.fenced, sink.repeats, len(takeovers),
 		takeovers[len(takeovers)/2].Round(time.Millisecond), takeovers[min(len(takeovers)-1, len(takeovers)*99/100)].Round(time.Millisecond), takeovers[len(takeovers)-1].Round(time.Millisecond))
 	if t.Failed() {
 		if b, err := os.ReadFile(logs.Name()); err == nil {
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -19,7 +19,7 @@
 // After an error the member must stop, since it is unknown what was stored.
 type Storage interface {
 	Load() (*StoredState, error)
-	Save(c *WriteBatch) error
+	Save(batch *WriteBatch) error
 }
 
 // StoredState is the content of a Storage.
--- a/internal/cluster/members_test.go
+++ b/internal/cluster/members_test.go
@@ -14,64 +14,65 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-// testCluster is members around one testCluster: all is delivered, in order, unless one is deaf.
+// testCluster connects members: every message is delivered in order, unless the sender or
+// the receiver is isolated.
 type testCluster struct {
 	t        *testing.T
 	members  map[uint64]*Member
 	isolated map[uint64]bool
 	ticks    int
-	// reads are the tokens that came back.
+	// reads holds the tokens of all confirmed reads.
 	reads []uint64
 }
 
-// newTestCluster has the three founders of an installation.
+// newTestCluster returns a cluster of three initial members.
 func newTestCluster(t *testing.T) *testCluster {
-	b := &testCluster{t: t, members: map[uint64]*Member{}, isolated: map[uint64]bool{}}
+	c := &testCluster{t: t, members: map[uint64]*Member{}, isolated: map[uint64]bool{}}
 	for id := uint64(1); id <= 3; id++ {
-		b.addMember(id, &memStorage{}, 1, 2, 3)
+		c.addMember(id, &memStorage{}, 1, 2, 3)
 	}
-	return b
+	return c
 }
 
-func (b *testCluster) addMember(id uint64, disk Storage, founders ...uint64) *Member {
-	b.t.Helper()
-	m, err := OpenMember(Config{ID: id, Name: memberName(id), InitialMembers: founders, Duty: simDuty, Storage: disk, Rand: rand.New(rand.NewPCG(id, 1)), SnapshotEvery: 20})
+func (c *testCluster) addMember(id uint64, storage Storage, initialMembers ...uint64) *Member {
+	c.t.Helper()
+	m, err := OpenMember(Config{ID: id, Name: memberName(id), InitialMembers: initialMembers, Duty: simDuty, Storage: storage, Rand: rand.New(rand.NewPCG(id, 1)), SnapshotEvery: 20})
 	if err != nil {
-		b.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	b.members[id] = m
+	c.members[id] = m
 	return m
 }
 
-// runTicks lets some ticks pass.
-func (b *testCluster) runTicks(ticks int) {
-	b.t.Helper()
+// runTicks advances all members by some ticks and delivers their messages.
+func (c *testCluster) runTicks(ticks int) {
+	c.t.Helper()
 	for range ticks {
-		b.ticks++
+		c.ticks++
 		var ids []uint64
-		for id := range b.members {
+		for id := range c.members {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			b.members[id].Tick()
+			c.members[id].Tick()
 		}
-		for range 6 { // enough rounds for what one tick sets off
+		for range 6 { // enough rounds to deliver what one tick causes
 			var all []*pb.Message
 			for _, id := range ids {
-				out, err := b.members[id].ProcessReady()
+				out, err := c.members[id].ProcessReady()
 				if err != nil {
-					b.t.Fatal(id, err)
+					c.t.Fatal(id, err)
 				}
-				b.reads = append(b.reads, out.ConfirmedReads...)
-				if !b.isolated[id] {
+				c.reads = append(c.reads, out.ConfirmedReads...)
+				if !c.isolated[id] {
 					all = append(all, out.Messages...)
 				}
 			}
 			for _, msg := range all {
-				if m := b.members[msg.GetTo()]; m != nil && !b.isolated[msg.GetTo()] {
+				if m := c.members[msg.GetTo()]; m != nil && !c.isolated[msg.GetTo()] {
 					if err := m.Step(proto.Clone(msg).(*pb.Message)); err != nil {
-						b.t.Fatal(err)
+						c.t.Fatal(err)
 					}
 				}
 			}
@@ -79,112 +80,112 @@
 	}
 }
 
-// leader waits for one that leads and is heard.
-func (b *testCluster) leader() *Member {
-	b.t.Helper()
+// leader runs ticks until a member that is not isolated leads, and returns it.
+func (c *testCluster) leader() *Member {
+	c.t.Helper()
 	for range 200 {
-		b.runTicks(1)
-		for id, m := range b.members {
-			if m.IsLeader() && !b.isolated[id] {
+		c.runTicks(1)
+		for id, m := range c.members {
+			if m.IsLeader() && !c.isolated[id] {
 				return m
 			}
 		}
 	}
-	b.t.Fatal("no leader")
+	c.t.Fatal("no leader")
 	return nil
 }
 
-func (b *testCluster) commit(es ...duty.Entry) {
-	b.t.Helper()
+func (c *testCluster) commit(es ...duty.Entry) {
+	c.t.Helper()
 	for _, e := range es {
 		for tries := 0; ; tries++ {
-			if err := b.leader().Propose(e); err == nil {
+			if err := c.leader().Propose(e); err == nil {
 				break
 			} else if tries > 20 {
-				b.t.Fatal(err)
+				c.t.Fatal(err)
 			}
 		}
-		b.runTicks(2)
+		c.runTicks(2)
 	}
 }
 
-func (b *testCluster) changeMembership(kind pb.ConfChangeType, id uint64) {
-	b.t.Helper()
-	if err := b.leader().ProposeConfChange(&pb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(id)}); err != nil {
-		b.t.Fatal(err)
+func (c *testCluster) changeMembership(kind pb.ConfChangeType, id uint64) {
+	c.t.Helper()
+	if err := c.leader().ProposeConfChange(&pb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(id)}); err != nil {
+		c.t.Fatal(err)
 	}
-	b.runTicks(12)
+	c.runTicks(12)
 }
 
-// requireSameState checks that members hold one state, with so many voters.
-func (b *testCluster) requireSameState(voters int, ids ...uint64) {
-	b.t.Helper()
-	b.runTicks(12)
+// requireSameState checks that the members have equal states and the given number of voters.
+func (c *testCluster) requireSameState(voters int, ids ...uint64) {
+	c.t.Helper()
+	c.runTicks(12)
 	want := ""
 	for _, id := range ids {
-		s, err := b.members[id].State().Save()
+		s, err := c.members[id].State().Save()
 		if err != nil {
-			b.t.Fatal(err)
+			c.t.Fatal(err)
 		}
 		if want == "" {
 			want = string(s)
 		}
-		if v, _ := b.members[id].Voters(); string(s) != want || len(v) != voters {
-			b.t.Fatalf("member %d, voters %v:\n%s\nwant\n%s", id, v, s, want)
+		if v, _ := c.members[id].Voters(); string(s) != want || len(v) != voters {
+			c.t.Fatalf("member %d, voters %v:\n%s\nwant\n%s", id, v, s, want)
 		}
 	}
 }
 
-// A member joins as a learner while the log moves on, by a snapshot since its entries are
-// gone; it is promoted; others are removed until two are left, and then one; a lost disk
-// is replaced by a member of another number.
+// A member joins as a learner while entries are committed. It needs a snapshot, since the
+// log has been compacted. It is promoted; a member that lost its storage is replaced by a
+// member with a new number; others are removed until two are left, and then one.
 func TestMembersComeAndGo(t *testing.T) {
-	b := newTestCluster(t)
-	b.leader()
+	c := newTestCluster(t)
+	c.leader()
 	registerDuties := func(n int) {
 		for i := range n {
-			b.commit(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", b.ticks, "-", i), Period: time.Second}})
+			c.commit(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", c.ticks, "-", i), Period: time.Second}})
 		}
 	}
-	registerDuties(400) // beyond what is kept behind a snapshot
-	b.addMember(4, &memStorage{})
-	b.runTicks(30)
-	if len(b.members[4].State().Duties()) != 0 || b.members[4].IsLeader() {
-		t.Fatal("one who was not asked to join takes part")
-	}
-	b.changeMembership(pb.ConfChangeType_ConfChangeAddLearnerNode, 4)
-	registerDuties(30) // under way
-	b.requireSameState(3, 1, 2, 3, 4)
-	b.changeMembership(pb.ConfChangeType_ConfChangeAddNode, 4)
-	b.requireSameState(4, 1, 2, 3, 4)
-	// Member 2 loses its disk: it must not come back as who it was.
-	delete(b.members, 2)
-	b.changeMembership(pb.ConfChangeType_ConfChangeRemoveNode, 2)
-	b.addMember(5, &memStorage{})
-	b.changeMembership(pb.ConfChangeType_ConfChangeAddLearnerNode, 5)
-	b.changeMembership(pb.ConfChangeType_ConfChangeAddNode, 5)
-	b.requireSameState(4, 1, 3, 4, 5)
-	for _, id := range []uint64{1, 3, 4} { // one of them may lead: it goes all the same
-		b.changeMembership(pb.ConfChangeType_ConfChangeRemoveNode, id)
-		b.isolated[id] = true
+	registerDuties(400) // more than trailingEntries, so that the log is compacted
+	c.addMember(4, &memStorage{})
+	c.runTicks(30)
+	if len(c.members[4].State().Duties()) != 0 || c.members[4].IsLeader() {
+		t.Fatal("a member that was not added takes part")
+	}
+	c.changeMembership(pb.ConfChangeType_ConfChangeAddLearnerNode, 4)
+	registerDuties(30) // while it catches up
+	c.requireSameState(3, 1, 2, 3, 4)
+	c.changeMembership(pb.ConfChangeType_ConfChangeAddNode, 4)
+	c.requireSameState(4, 1, 2, 3, 4)
+	// Member 2 loses its storage: it must not return under the same number.
+	delete(c.members, 2)
+	c.changeMembership(pb.ConfChangeType_ConfChangeRemoveNode, 2)
+	c.addMember(5, &memStorage{})
+	c.changeMembership(pb.ConfChangeType_ConfChangeAddLearnerNode, 5)
+	c.changeMembership(pb.ConfChangeType_ConfChangeAddNode, 5)
+	c.requireSameState(4, 1, 3, 4, 5)
+	for _, id := range []uint64{1, 3, 4} { // the leader may be among them
+		c.changeMembership(pb.ConfChangeType_ConfChangeRemoveNode, id)
+		c.isolated[id] = true
 		registerDuties(3)
 	}
-	b.requireSameState(1, 5)
-	if n := len(b.members[5].State().Duties()); n != 439 {
+	c.requireSameState(1, 5)
+	if n := len(c.members[5].State().Duties()); n != 439 {
 		t.Errorf("%d duties at the end", n)
 	}
 }
 
-// A minority does nothing and says so, and a leader without a majority steps down; a
-// read is answered by a leader that has one, and from nothing older.
+// A minority commits nothing and rejects proposals, and a leader without a majority steps
+// down. Only a leader with a majority confirms a read.
 func TestMinority(t *testing.T) {
-	b := newTestCluster(t)
-	b.commit(duty.Join{Member: "x", Incarnation: 1})
-	leader := b.leader()
+	c := newTestCluster(t)
+	c.commit(duty.Join{Member: "x", Incarnation: 1})
+	leader := c.leader()
 	oldLeader := leader.cfg.ID
-	b.isolated[oldLeader] = true
+	c.isolated[oldLeader] = true
 	if err := leader.Propose(duty.Leave{Member: "x"}); err != nil {
-		t.Fatal(err) // it can't know yet
+		t.Fatal(err) // it has not yet detected the loss of the majority
 	}
 	if err := leader.ReadIndex(7); err != nil {
 		t.Fatal(err)
@@ -197,23 +198,23 @@
 		}
 	}
 	if leader.IsLeader() {
-		t.Error("it leads without a majority")
+		t.Error("leader without a majority did not step down")
 	}
 	if err := leader.Propose(duty.Leave{Member: "x"}); !errors.Is(err, ErrNoLeader) {
 		t.Error(err)
 	}
-	b.commit(duty.Join{Member: "y", Incarnation: 1})
-	b.isolated[oldLeader] = false
-	b.runTicks(60)
-	b.requireSameState(3, 1, 2, 3)
-	if got := b.members[oldLeader].State().Members(); len(got) != 2 {
-		t.Errorf("%+v: what the minority proposed counts", got)
+	c.commit(duty.Join{Member: "y", Incarnation: 1})
+	c.isolated[oldLeader] = false
+	c.runTicks(60)
+	c.requireSameState(3, 1, 2, 3)
+	if got := c.members[oldLeader].State().Members(); len(got) != 2 {
+		t.Errorf("%+v: the proposal of the minority was applied", got)
 	}
-	if err := b.leader().ReadIndex(9); err != nil {
+	if err := c.leader().ReadIndex(9); err != nil {
 		t.Fatal(err)
 	}
-	b.runTicks(5)
-	if !slices.Equal(b.reads, []uint64{9}) {
-		t.Error(b.reads)
+	c.runTicks(5)
+	if !slices.Equal(c.reads, []uint64{9}) {
+		t.Error(c.reads)
 	}
 }
--- a/internal/cluster/pki.go
+++ b/internal/cluster/pki.go
@@ -88,14 +88,14 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := newSerial()
+	serial, err := newSerial()
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: "violetspan " + installation, Organization: []string{installation}},
+	template := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "violetspan " + installation, Organization: []string{installation}},
 		NotBefore: now.Add(-backdate), NotAfter: now.Add(CAValidity), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		return nil, err
 	}
@@ -130,12 +130,12 @@
 }
 
 func readPEM(path, kind string, secret bool) ([]byte, error) {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	if secret && st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%w: %s has mode %o, expected %o", ErrKeyMode, path, st.Mode().Perm(), modeSecret)
+	if secret && info.Mode().Perm()&0o077 != 0 {
+		return nil, fmt.Errorf("%w: %s has mode %o, expected %o", ErrKeyMode, path, info.Mode().Perm(), modeSecret)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -159,11 +159,11 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := x509.ParsePKCS8PrivateKey(der)
+	parsed, err := x509.ParsePKCS8PrivateKey(der)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %s: %w", path, err)
 	}
-	key, ok := k.(crypto.Signer)
+	key, ok := parsed.(crypto.Signer)
 	if pub, same := cert.PublicKey.(*ecdsa.PublicKey); !ok || !same || !pub.Equal(key.Public()) {
 		return nil, fmt.Errorf("cluster: %s is not the key of %s", path, FileCACert)
 	}
@@ -196,15 +196,15 @@
 	if err != nil {
 		return err
 	}
-	n, err := newSerial()
+	serial, err := newSerial()
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: memberName(member), Organization: []string{ca.Installation}},
+	template := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: memberName(member), Organization: []string{ca.Installation}},
 		NotBefore: now.Add(-backdate), NotAfter: now.Add(MemberValidity), DNSNames: []string{memberName(member)},
 		URIs:     []*url.URL{{Scheme: "violetspan", Host: ca.Installation, Path: "/member/" + strconv.FormatUint(member, 10)}},
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, t, ca.cert, key.Public(), ca.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, ca.cert, key.Public(), ca.key)
 	if err != nil {
 		return err
 	}
@@ -265,9 +265,9 @@
 	hash := sha256.New()
 	for _, name := range []string{FileCACert, FileCert, FileKey, FileRevoked} {
 		path := filepath.Join(k.dir, name)
-		if st, err := os.Stat(path); err == nil {
+		if info, err := os.Stat(path); err == nil {
 			b, err := strict.Read(path, maxFileBytes)
-			_, _ = fmt.Fprint(hash, name, st.Mode(), len(b), err) // a hash never fails
+			_, _ = fmt.Fprint(hash, name, info.Mode(), len(b), err) // a hash never fails
 			_, _ = hash.Write(b)
 		}
 	}
--- a/internal/cluster/pki_test.go
+++ b/internal/cluster/pki_test.go
@@ -16,7 +16,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// newInstallation makes an authority and members 1 and 2 of it.
+// newInstallation creates a CA and issues the files of members 1 and 2. dirs is indexed by
+// member number; dirs[0] is the CA's directory.
 func newInstallation(t *testing.T, installation string) (ca *CA, dirs [3]string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,7 +44,7 @@
 	return k
 }
 
-// handshake lets a client and a server handshake hands and say a word each way.
+// handshake connects a client and a server and exchanges one byte each way.
 func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,33 +80,33 @@
 	return errors.Join(err, <-done)
 }
 
-// Members of one installation trust each other as who they are, and nobody else; a
-// certificate is renewed and revoked under way.
+// Members of an installation accept only each other, each under its own number.
+// Certificates are renewed and revoked without a restart.
 func TestIdentities(t *testing.T) {
 	ca, dirs := newInstallation(t, "tran")
 	one, two := openCredentials(t, dirs[1]), openCredentials(t, dirs[2])
 	if id, err := one.Identity(); err != nil || id.Member != 1 || id.Installation != "tran" || time.Until(id.NotAfter) < MemberValidity-time.Hour {
 		t.Error(id, err)
 	}
-	_, otherDirs := newInstallation(t, "tran") // the same name, another authority
+	_, otherDirs := newInstallation(t, "tran") // same name, different CA
 	tls12 := two.ClientConfig(1)
 	tls12.MinVersion, tls12.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
 	for name, c := range map[string]struct {
 		server, client *tls.Config
 		ok             bool
 	}{
-		"each other":            {one.ServerConfig(), two.ClientConfig(1), true},
-		"1 in place of 2":       {one.ServerConfig(), two.ClientConfig(2), false},
-		"a stranger calls":      {one.ServerConfig(), openCredentials(t, otherDirs[2]).ClientConfig(1), false},
-		"a stranger is called":  {openCredentials(t, otherDirs[1]).ServerConfig(), two.ClientConfig(1), false},
-		"none without":          {one.ServerConfig(), &tls.Config{InsecureSkipVerify: true}, false},
+		"same installation":     {one.ServerConfig(), two.ClientConfig(1), true},
+		"1 instead of 2":        {one.ServerConfig(), two.ClientConfig(2), false},
+		"foreign client":        {one.ServerConfig(), openCredentials(t, otherDirs[2]).ClientConfig(1), false},
+		"foreign server":        {openCredentials(t, otherDirs[1]).ServerConfig(), two.ClientConfig(1), false},
+		"no certificate":        {one.ServerConfig(), &tls.Config{InsecureSkipVerify: true}, false},
 		"an older TLS than 1.3": {one.ServerConfig(), tls12, false},
 	} {
 		if err := handshake(t, c.server, c.client); (err == nil) != c.ok {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	// Renewed: the same configurations take the new pair once it is reread.
+	// Renewed: existing TLS configurations use the new pair after a Reload.
 	before, _ := two.Identity()
 	if err := ca.Issue(dirs[2], 2, time.Now()); err != nil {
 		t.Fatal(err)
@@ -121,7 +122,7 @@
 	if err := handshake(t, server, two.ClientConfig(1)); err != nil {
 		t.Error(err)
 	}
-	// Revoked at member 1, by its serial number; a comment and an empty line are none.
+	// Revoked at member 1 by serial number; comments and empty lines are ignored.
 	if err := os.WriteFile(filepath.Join(dirs[1], FileRevoked), []byte("# lost\n\n"+strings.ToUpper(after.Serial)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -129,16 +130,17 @@
 		t.Fatal(err)
 	}
 	if err := handshake(t, server, two.ClientConfig(1)); err == nil {
-		t.Error("a revoked certificate was let in")
+		t.Error("a revoked certificate was accepted")
 	}
-	// Past its time.
+	// Expired.
 	two.Now = func() time.Time { return time.Now().Add(MemberValidity + time.Hour) }
 	if _, err := two.Identity(); !errors.Is(err, ErrInvalidIdentity) {
 		t.Error(err)
 	}
 }
 
-// Files that are wrong are refused, by name, and what was read before counts on.
+// Invalid files are rejected with an error that names them, and the previous credentials
+// stay in use.
 func TestKeyFiles(t *testing.T) {
 	ca, dirs := newInstallation(t, "tran")
 	one := openCredentials(t, dirs[1])
@@ -148,17 +150,17 @@
 		}
 	}
 	if _, err := NewCA(dirs[0], "tran", time.Now()); !errors.Is(err, os.ErrExist) {
-		t.Errorf("an authority was replaced: %v", err)
+		t.Errorf("an existing CA was replaced: %v", err)
 	}
 	for _, bad := range []string{"", "a b", "a/b", strings.Repeat("x", 65)} {
 		if _, err := NewCA(t.TempDir(), bad, time.Now()); err == nil {
-			t.Errorf("installation %q", bad)
+			t.Errorf("installation name %q was accepted", bad)
 		}
 	}
 	for name, damage := range map[string]func(dir string) error{
 		"mode":        func(dir string) error { return os.Chmod(filepath.Join(dir, FileKey), 0o644) },
 		"no PEM":      func(dir string) error { return os.WriteFile(filepath.Join(dir, FileCACert), []byte("rubbish"), 0o644) },
-		"gone":        func(dir string) error { return os.Remove(filepath.Join(dir, FileKey)) },
+		"missing":     func(dir string) error { return os.Remove(filepath.Join(dir, FileKey)) },
 		"another key": func(dir string) error { return os.Rename(filepath.Join(dirs[2], FileKey), filepath.Join(dir, FileKey)) },
 		"revoked": func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, FileRevoked), []byte("1\nnot hex\n"), 0o600)
@@ -176,7 +178,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if err := handshake(t, one.ServerConfig(), k.ClientConfig(1)); err != nil {
-			t.Errorf("%s: what was read before does not count: %v", name, err)
+			t.Errorf("%s: previous credentials are not in use: %v", name, err)
 		}
 		if _, err := OpenCredentials(dir); err == nil {
 			t.Errorf("%s: opened", name)
@@ -256,8 +258,8 @@
 	hello, _ := HelloFrame(Hello{Installation: "tran", Member: 3})
 	one, _ := AppendFrame(nil, hello)
 	f.Add(one)
-	beat, _ := AppendFrame(nil, HeartbeatFrame(1))
-	f.Add(beat)
+	heartbeat, _ := AppendFrame(nil, HeartbeatFrame(1))
+	f.Add(heartbeat)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bytes.NewReader(b)
 		for {
@@ -272,7 +274,7 @@
 			if got, err := ReadFrame(bytes.NewReader(again)); err != nil || got.Type != fr.Type || !bytes.Equal(got.Payload, fr.Payload) {
 				t.Fatal(got, err)
 			}
-			_, _ = fr.Hello() // whatever they hold, no panic
+			_, _ = fr.Hello() // must not panic on any payload
 			_, _ = fr.Raft()
 			_, _ = fr.Heartbeat()
 		}
@@ -289,7 +291,7 @@
 		}
 		again, err := EncodeEntry(e)
 		if err != nil {
-			t.Skip() // escapes may make it longer than the bound
+			t.Skip() // escaping may make it longer than MaxEntryBytes
 		}
 		if _, err := DecodeEntry(again); err != nil {
 			t.Fatal(err)
--- a/internal/cluster/seeds_test.go
+++ b/internal/cluster/seeds_test.go
@@ -17,33 +17,33 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-var seedsFlag = flag.Int("seeds", 200, "seeds that TestSeeds plays")
-var seedFlag = flag.Uint64("seed", 0, "the one seed that TestSeeds plays, told step by step; 0: all")
+var seedsFlag = flag.Int("seeds", 200, "number of seeds that TestSeeds runs")
+var seedFlag = flag.Uint64("seed", 0, "run TestSeeds with only this seed and log each step; 0: all seeds")
 
-// memStorage is a disk of the simulation. A crash in the middle of a Save leaves all of it
-// or nothing, as a store with checksums does.
+// memStorage is an in-memory Storage. A crash during a Save leaves all or nothing of the
+// batch, as in a Store.
 type memStorage struct {
 	stored StoredState
-	crash  func() (before, after bool) // asked at each Save
+	crash  func() (before, after bool) // called at each Save: whether to crash before or after storing
 }
 
 var errCrash = errors.New("crash")
 
 func (d *memStorage) Load() (*StoredState, error) {
-	k := &StoredState{}
+	stored := &StoredState{}
 	if d.stored.HardState != nil {
-		k.HardState = proto.Clone(d.stored.HardState).(*pb.HardState)
+		stored.HardState = proto.Clone(d.stored.HardState).(*pb.HardState)
 	}
 	if d.stored.Snapshot != nil {
-		k.Snapshot = proto.Clone(d.stored.Snapshot).(*pb.Snapshot)
+		stored.Snapshot = proto.Clone(d.stored.Snapshot).(*pb.Snapshot)
 	}
 	for _, e := range d.stored.Entries {
-		k.Entries = append(k.Entries, proto.Clone(e).(*pb.Entry))
+		stored.Entries = append(stored.Entries, proto.Clone(e).(*pb.Entry))
 	}
-	return k, nil
+	return stored, nil
 }
 
-func (d *memStorage) Save(c *WriteBatch) error {
+func (d *memStorage) Save(batch *WriteBatch) error {
 	before, after := false, false
 	if d.crash != nil {
 		before, after = d.crash()
@@ -51,18 +51,18 @@
 	if before {
 		return errCrash
 	}
-	if c.HardState != nil {
-		d.stored.HardState = proto.Clone(c.HardState).(*pb.HardState)
+	if batch.HardState != nil {
+		d.stored.HardState = proto.Clone(batch.HardState).(*pb.HardState)
 	}
-	if c.Snapshot != nil {
-		d.stored.Snapshot = proto.Clone(c.Snapshot).(*pb.Snapshot)
-		at := c.Snapshot.GetMetadata().GetIndex()
-		d.stored.Entries = slices.DeleteFunc(d.stored.Entries, func(e *pb.Entry) bool { return c.Received || e.GetIndex() <= at })
+	if batch.Snapshot != nil {
+		d.stored.Snapshot = proto.Clone(batch.Snapshot).(*pb.Snapshot)
+		at := batch.Snapshot.GetMetadata().GetIndex()
+		d.stored.Entries = slices.DeleteFunc(d.stored.Entries, func(e *pb.Entry) bool { return batch.Received || e.GetIndex() <= at })
 	}
-	if len(c.Entries) > 0 {
-		from := c.Entries[0].GetIndex()
+	if len(batch.Entries) > 0 {
+		from := batch.Entries[0].GetIndex()
 		d.stored.Entries = slices.DeleteFunc(d.stored.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= from })
-		for _, e := range c.Entries {
+		for _, e := range batch.Entries {
 			d.stored.Entries = append(d.stored.Entries, proto.Clone(e).(*pb.Entry))
 		}
 	}
@@ -76,37 +76,37 @@
 type simNode struct {
 	id          uint64
 	name        string
-	disk        *memStorage
-	member      *Member // nil: down
+	storage     *memStorage
+	member      *Member // nil if the node is down
 	agent       *duty.Agent
 	incarnation uint64
-	clockSkew   time.Duration // of its wall clock
-	pausedSteps int           // steps that it takes no part in
+	clockSkew   time.Duration // of the node's wall clock
+	pausedSteps int           // remaining steps of a pause
 	heartbeats  map[string]time.Duration
 	joined      bool
 }
 
-// packet is something on its way.
+// packet is a message, a heartbeat or a duty run in transit.
 type packet struct {
 	deliverAt   int
 	from        int
 	to          int
 	msg         *pb.Message
-	heartbeat   time.Duration // not a message: the sender spoke to whom it takes for the leader
-	claim       *duty.Claim   // an effect on its way to the sink
+	heartbeat   time.Duration // if msg and claim are nil: a heartbeat to the presumed leader
+	claim       *duty.Claim   // if not nil: a run on its way to the sink
 	incarnation uint64
 }
 
 const (
-	stepDuration = 50 * time.Millisecond // of virtual time; one raft tick is two
+	stepDuration = 50 * time.Millisecond // virtual time; a Raft tick is two steps
 	simLease     = time.Second
-	simSteps     = 1200 // a minute
+	simSteps     = 1200 // one minute
 )
 
 var simDuty = duty.Config{Lease: simLease}
 
-// sim is raft, disk and duties together on a virtual clock. Its only source of chance
-// is the seed.
+// sim simulates Raft members, their storage and their duties on a virtual clock. The seed
+// determines the whole run.
 type sim struct {
 	t           testing.TB
 	random      *rand.Rand
@@ -114,7 +114,7 @@
 	nodes       []*simNode
 	step        int
 	inFlight    []packet
-	cutLinks    map[[2]int]bool // links that lose all, one way
+	cutLinks    map[[2]int]bool // directed links that drop everything
 	sink        *duty.Sink
 	effects     map[string]int
 	trace       *xxhash.Digest
@@ -122,13 +122,12 @@
 	verbose     bool
 	failure     string
 	faultFree   bool
-	stateHashes map[uint64]string // the entry at each index, as first applied
-
+	stateHashes map[uint64]string // hash of the state at each applied index
 }
 
 func (s *sim) tracef(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
-	_, _ = s.trace.WriteString(line) // a hash takes every write
+	_, _ = s.trace.WriteString(line) // a hash never fails
 	if s.verbose {
 		s.t.Logf("%v %s", time.Duration(s.step)*stepDuration, line)
 	}
@@ -140,13 +139,13 @@
 	}
 }
 
-func newSim(t testing.TB, seed uint64, n int, loud bool) *sim {
-	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 8)), size: n, cutLinks: map[[2]int]bool{}, sink: duty.NewSink(), effects: map[string]int{},
-		trace: xxhash.New(), leaders: map[uint64]uint64{}, verbose: loud, stateHashes: map[uint64]string{}}
-	for i := range n {
-		s.nodes = append(s.nodes, &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), disk: &memStorage{},
+func newSim(t testing.TB, seed uint64, size int, verbose bool) *sim {
+	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 8)), size: size, cutLinks: map[[2]int]bool{}, sink: duty.NewSink(), effects: map[string]int{},
+		trace: xxhash.New(), leaders: map[uint64]uint64{}, verbose: verbose, stateHashes: map[uint64]string{}}
+	for i := range size {
+		s.nodes = append(s.nodes, &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), storage: &memStorage{},
 			clockSkew: time.Duration(s.random.Int64N(int64(2*time.Second))) - time.Second})
-		s.nodes[i].disk.crash = func() (bool, bool) {
+		s.nodes[i].storage.crash = func() (bool, bool) {
 			if s.faultFree || s.random.IntN(400) > 0 {
 				return false, false
 			}
@@ -159,33 +158,33 @@
 }
 
 func (s *sim) startNode(i int) {
-	n := s.nodes[i]
-	var founders []uint64
+	node := s.nodes[i]
+	var initialMembers []uint64
 	for k := range s.size {
-		founders = append(founders, uint64(k+1))
+		initialMembers = append(initialMembers, uint64(k+1))
 	}
-	m, err := OpenMember(Config{ID: n.id, Name: n.name, InitialMembers: founders, Duty: simDuty, Storage: n.disk,
-		Rand: rand.New(rand.NewPCG(s.random.Uint64(), n.id)), SnapshotEvery: 40})
+	m, err := OpenMember(Config{ID: node.id, Name: node.name, InitialMembers: initialMembers, Duty: simDuty, Storage: node.storage,
+		Rand: rand.New(rand.NewPCG(s.random.Uint64(), node.id)), SnapshotEvery: 40})
 	if errors.Is(err, errCrash) {
-		return // it is tried again
+		return // a later step tries again
 	}
 	if err != nil {
-		s.failf("%s does not open: %v", n.name, err)
+		s.failf("cannot open the member of %s: %v", node.name, err)
 		return
 	}
-	n.incarnation++
-	n.member, n.agent, n.heartbeats, n.joined = m, duty.NewAgent(n.name, simDuty, 4), map[string]time.Duration{}, false
-	s.tracef("%s up, life %d, applied %d", n.name, n.incarnation, m.AppliedIndex())
+	node.incarnation++
+	node.member, node.agent, node.heartbeats, node.joined = m, duty.NewAgent(node.name, simDuty, 4), map[string]time.Duration{}, false
+	s.tracef("%s started, incarnation %d, applied %d", node.name, node.incarnation, m.AppliedIndex())
 }
 
 func (s *sim) stopNode(i int) {
-	s.tracef("%s down", s.nodes[i].name)
+	s.tracef("%s stopped", s.nodes[i].name)
 	s.nodes[i].member = nil
 }
 
 func (s *sim) steadyTime() time.Duration { return time.Duration(s.step) * stepDuration }
 
-// send sends something, with delay, loss, copies and disorder.
+// send queues a packet, which may be delayed, lost, duplicated or reordered.
 func (s *sim) send(p packet) {
 	copies := 1
 	if !s.faultFree {
@@ -221,113 +220,113 @@
 			s.runAtSink(p)
 			continue
 		}
-		n := s.nodes[p.to]
-		if n.member == nil {
+		node := s.nodes[p.to]
+		if node.member == nil {
 			continue
 		}
 		if p.msg == nil {
-			n.heartbeats[s.nodes[p.from].name] = max(n.heartbeats[s.nodes[p.from].name], p.heartbeat)
+			node.heartbeats[s.nodes[p.from].name] = max(node.heartbeats[s.nodes[p.from].name], p.heartbeat)
 			continue
 		}
-		if err := n.member.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrMemberFailed) {
-			s.failf("%s: %v", n.name, err)
+		if err := node.member.Step(proto.Clone(p.msg).(*pb.Message)); err != nil && !errors.Is(err, ErrMemberFailed) {
+			s.failf("%s: %v", node.name, err)
 		}
 	}
 }
 
-// runAtSink is a run's arrival at the sink, from an owner that may be paused or dead.
+// runAtSink passes a claim to the sink. Its owner may be paused or down.
 func (s *sim) runAtSink(p packet) {
 	err := s.sink.Accept(*p.claim)
 	s.tracef("sink: %+v: %v", *p.claim, err)
 	if err == nil {
 		s.effects[fmt.Sprint(p.claim.Duty, " ", p.claim.Period)]++
 	}
-	n := s.nodes[p.from]
-	if n.member == nil || n.incarnation != p.incarnation {
+	node := s.nodes[p.from]
+	if node.member == nil || node.incarnation != p.incarnation {
 		return
 	}
 	if !s.faultFree && s.random.IntN(20) == 0 {
-		return // its acknowledgement is lost: the run is stopped at its deadline
+		return // the sink's answer is lost: the run is cancelled at its deadline
 	}
-	if n.agent.RunEnded(s.steadyTime(), *p.claim, err) {
-		_ = n.member.Propose(duty.Done{Claim: *p.claim}) // if it is lost, it is proposed again
+	if node.agent.RunEnded(s.steadyTime(), *p.claim, err) {
+		_ = node.member.Propose(duty.Done{Claim: *p.claim}) // proposed again if lost
 	}
 }
 
-// injectFaults is what goes wrong in a step.
+// injectFaults injects the random faults of one step.
 func (s *sim) injectFaults() {
 	if s.random.IntN(60) == 0 {
 		i := s.random.IntN(s.size)
-		switch n := s.nodes[i]; {
-		case n.member == nil:
+		switch node := s.nodes[i]; {
+		case node.member == nil:
 			s.startNode(i)
 		case s.random.IntN(2) == 0:
 			s.stopNode(i)
 		default:
-			n.pausedSteps = 1 + s.random.IntN(60)
-			s.tracef("%s pauses for %d", n.name, n.pausedSteps)
+			node.pausedSteps = 1 + s.random.IntN(60)
+			s.tracef("%s paused for %d steps", node.name, node.pausedSteps)
 		}
 	}
 	if s.random.IntN(80) == 0 {
 		k := [2]int{s.random.IntN(s.size), s.random.IntN(s.size)}
 		s.cutLinks[k] = !s.cutLinks[k]
-		s.tracef("link %v cut %v", k, s.cutLinks[k])
+		s.tracef("link %v cut: %v", k, s.cutLinks[k])
 	}
 	if s.random.IntN(150) == 0 {
 		clear(s.cutLinks)
 	}
 	if s.random.IntN(200) == 0 {
-		n := s.nodes[s.random.IntN(s.size)]
-		n.clockSkew += time.Duration(s.random.Int64N(int64(20*time.Second))) - 10*time.Second
-		s.tracef("%s's clock is off by %v", n.name, n.clockSkew)
+		node := s.nodes[s.random.IntN(s.size)]
+		node.clockSkew += time.Duration(s.random.Int64N(int64(20*time.Second))) - 10*time.Second
+		s.tracef("clock of %s skewed by %v", node.name, node.clockSkew)
 	}
 }
 
 func (s *sim) stepNode(i int) {
-	n := s.nodes[i]
-	if n.member == nil {
+	node := s.nodes[i]
+	if node.member == nil {
 		return
 	}
-	if n.pausedSteps > 0 {
-		n.pausedSteps--
+	if node.pausedSteps > 0 {
+		node.pausedSteps--
 		return
 	}
 	if s.step%2 == 0 {
-		n.member.Tick()
+		node.member.Tick()
 	}
-	leader, term := n.member.Leader()
-	if n.member.IsLeader() {
-		if was := s.leaders[term]; was != 0 && was != n.id {
-			s.failf("term %d has leaders %d and %d", term, was, n.id)
+	leader, term := node.member.Leader()
+	if node.member.IsLeader() {
+		if was := s.leaders[term]; was != 0 && was != node.id {
+			s.failf("term %d has leaders %d and %d", term, was, node.id)
 		}
-		s.leaders[term] = n.id
-		if s.step%6 == 0 { // the duties' clock
-			n.heartbeats[n.name] = s.steadyTime()
-			t := duty.Tick{Now: 1000*time.Second + s.steadyTime() + n.clockSkew}
+		s.leaders[term] = node.id
+		if s.step%6 == 0 { // advance the duty clock
+			node.heartbeats[node.name] = s.steadyTime()
+			t := duty.Tick{Now: 1000*time.Second + s.steadyTime() + node.clockSkew}
 			for _, o := range s.nodes {
-				if at, ok := n.heartbeats[o.name]; ok {
+				if at, ok := node.heartbeats[o.name]; ok {
 					t.Heard, t.At = append(t.Heard, o.name), append(t.At, at)
 				}
 			}
-			clear(n.heartbeats)
-			_ = n.member.Propose(t) // refused while too much waits
+			clear(node.heartbeats)
+			_ = node.member.Propose(t) // may be dropped; a later tick replaces it
 		}
 	} else if leader > 0 && s.step%4 == 0 {
 		s.send(packet{from: i, to: int(leader - 1), heartbeat: s.steadyTime()})
 	}
-	if !n.joined && leader > 0 && s.step%10 == 0 {
-		_ = n.member.Propose(duty.Join{Member: n.name, Incarnation: n.incarnation})
+	if !node.joined && leader > 0 && s.step%10 == 0 {
+		_ = node.member.Propose(duty.Join{Member: node.name, Incarnation: node.incarnation})
 		for d := range 3 {
-			if len(n.member.State().Duties()) < 3 {
-				_ = n.member.Propose(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", d), Period: time.Duration(1+d) * 2 * time.Second, Deadline: time.Second,
+			if len(node.member.State().Duties()) < 3 {
+				_ = node.member.Propose(duty.Register{Spec: duty.Spec{Name: fmt.Sprint("d", d), Period: time.Duration(1+d) * 2 * time.Second, Deadline: time.Second,
 					MakeUp: true, MostMissed: 1 << 20}})
 			}
 		}
 	}
-	out, err := n.member.ProcessReady()
+	out, err := node.member.ProcessReady()
 	if err != nil {
 		if !errors.Is(err, errCrash) {
-			s.failf("%s: %v", n.name, err)
+			s.failf("%s: %v", node.name, err)
 		}
 		s.stopNode(i)
 		return
@@ -339,49 +338,50 @@
 	for _, e := range out.Applied {
 		switch e := e.(type) {
 		case duty.Tick:
-			if k := slices.Index(e.Heard, n.name); k >= 0 {
-				n.agent.RenewLease(e.At[k])
+			if k := slices.Index(e.Heard, node.name); k >= 0 {
+				node.agent.RenewLease(e.At[k])
 			}
 		case duty.Join:
-			n.joined = n.joined || e.Member == n.name && e.Incarnation == n.incarnation
+			node.joined = node.joined || e.Member == node.name && e.Incarnation == node.incarnation
 		}
 	}
 	if len(out.Applied) > 0 {
-		b, err := n.member.State().Save()
+		b, err := node.member.State().Save()
 		if err != nil {
 			s.failf("%v", err)
 		}
 		sum := fmt.Sprintf("%x", xxhash.Sum64(b))
-		if was, ok := s.stateHashes[n.member.AppliedIndex()]; ok && was != sum {
-			s.failf("%s holds another state at %d", n.name, n.member.AppliedIndex())
+		if was, ok := s.stateHashes[node.member.AppliedIndex()]; ok && was != sum {
+			s.failf("%s has a different state at index %d", node.name, node.member.AppliedIndex())
 		}
-		s.stateHashes[n.member.AppliedIndex()] = sum
+		s.stateHashes[node.member.AppliedIndex()] = sum
 	}
-	state := n.member.State()
-	stop, _ := n.agent.Stop(s.steadyTime(), state)
+	state := node.member.State()
+	stop, _ := node.agent.Stop(s.steadyTime(), state)
 	for _, c := range stop {
-		n.agent.RunEnded(s.steadyTime(), c, errors.New("stopped"))
+		node.agent.RunEnded(s.steadyTime(), c, errors.New("stopped"))
 	}
-	for _, c := range n.agent.Repropose(s.steadyTime(), state) {
-		s.tracef("%s proposes again that %+v is done", n.name, c)
-		_ = n.member.Propose(duty.Done{Claim: c})
+	for _, c := range node.agent.Repropose(s.steadyTime(), state) {
+		s.tracef("%s proposes Done again for %+v", node.name, c)
+		_ = node.member.Propose(duty.Done{Claim: c})
 	}
-	if !n.joined {
-		return // what the state says is of an earlier life
+	if !node.joined {
+		return // the state is that of an earlier incarnation
 	}
-	for _, c := range n.agent.Start(s.steadyTime(), state) {
-		s.tracef("%s starts %+v", n.name, c)
-		p := packet{from: i, to: i, claim: &c, incarnation: n.incarnation}
+	for _, c := range node.agent.Start(s.steadyTime(), state) {
+		s.tracef("%s starts %+v", node.name, c)
+		p := packet{from: i, to: i, claim: &c, incarnation: node.incarnation}
 		s.send(p)
 	}
 }
 
-// runSeed runs a seed and returns the trace's hash, and what went wrong.
-func runSeed(t testing.TB, seed uint64, loud bool) (hash uint64, fault string, effects int) {
-	n := 3 + 2*int(seed%3)
-	s := newSim(t, seed, n, loud)
+// runSeed simulates one seed. It returns the hash of the trace, the first failure and the
+// number of effects.
+func runSeed(t testing.TB, seed uint64, verbose bool) (hash uint64, failure string, effects int) {
+	size := 3 + 2*int(seed%3)
+	s := newSim(t, seed, size, verbose)
 	for s.step = 1; s.step <= simSteps && s.failure == ""; s.step++ {
-		s.faultFree = s.step > simSteps*2/3 // in the end the weather is fair, and all must come to rest
+		s.faultFree = s.step > simSteps*2/3 // the last third has no faults, so that the state must converge
 		if s.faultFree {
 			clear(s.cutLinks)
 			for i, x := range s.nodes {
@@ -393,7 +393,7 @@
 			s.injectFaults()
 		}
 		s.deliver()
-		for _, i := range s.random.Perm(n) {
+		for _, i := range s.random.Perm(size) {
 			s.stepNode(i)
 		}
 		var b [8]byte
@@ -409,18 +409,19 @@
 	return s.trace.Sum64(), s.failure, len(s.effects)
 }
 
-// checkFinalState checks the end: one leader, equal states, and every period done but the last.
+// checkFinalState checks for one leader, with all nodes up, and that every period but the
+// last is done.
 func (s *sim) checkFinalState() {
 	leaders := 0
 	var state *duty.State
-	for _, n := range s.nodes {
-		if n.member == nil {
-			s.failf("%s is down at the end", n.name)
+	for _, node := range s.nodes {
+		if node.member == nil {
+			s.failf("%s is down at the end", node.name)
 			return
 		}
-		if n.member.IsLeader() {
+		if node.member.IsLeader() {
 			leaders++
-			state = n.member.State()
+			state = node.member.State()
 		}
 	}
 	if leaders != 1 {
@@ -434,7 +435,7 @@
 	}
 	for _, d := range ds {
 		if d.Pending > 1 {
-			s.failf("%s: %d periods owed at the end", d.Spec.Name, d.Pending)
+			s.failf("%s: %d periods pending at the end", d.Spec.Name, d.Pending)
 		}
 		done := 0
 		low, high := int64(1)<<62, int64(0)
@@ -452,23 +453,24 @@
 	}
 }
 
-// Raft, disk, duties and sink together: no period twice, none skipped, one leader a term,
-// equal states at equal places of the log; and a seed decides all of it.
+// Simulates Raft, storage, duties and sink together. No period may be done twice or skipped,
+// each term has one leader, states at the same log index are equal, and the same seed gives
+// the same trace.
 func TestSeeds(t *testing.T) {
 	if *seedFlag > 0 {
-		hash, fault, n := runSeed(t, *seedFlag, true)
-		t.Logf("seed %d: trace %016x, %d effects %s", *seedFlag, hash, n, fault)
-		if fault != "" {
+		hash, failure, n := runSeed(t, *seedFlag, true)
+		t.Logf("seed %d: trace %016x, %d effects %s", *seedFlag, hash, n, failure)
+		if failure != "" {
 			t.Fail()
 		}
 		return
 	}
 	total := 0
 	for seed := uint64(1); seed <= uint64(*seedsFlag); seed++ {
-		hash, fault, n := runSeed(t, seed, false)
+		hash, failure, n := runSeed(t, seed, false)
 		total += n
-		if fault != "" {
-			t.Errorf("seed %d (trace %016x): %s", seed, hash, fault)
+		if failure != "" {
+			t.Errorf("seed %d (trace %016x): %s", seed, hash, failure)
 		}
 		if seed%25 == 0 {
 			if again, _, _ := runSeed(t, seed, false); again != hash {
@@ -476,5 +478,5 @@
 			}
 		}
 	}
-	t.Logf("%d seeds, %d effects, each once", *seedsFlag, total)
+	t.Logf("%d seeds, %d effects, no duplicates", *seedsFlag, total)
 }
--- a/internal/cluster/single_test.go
+++ b/internal/cluster/single_test.go
@@ -11,8 +11,8 @@
 	"violetspan.example/violetspan/decide/duty"
 )
 
-// A duty that panics, one that hangs and one that fails are tried again, and take
-// nothing from one that is well; at the end the host does not wait for what hangs.
+// Duties that panic, hang or fail must not keep a healthy duty from running. Those that
+// panic or fail are retried, and the host's shutdown does not wait for a hung run.
 func TestBadDuties(t *testing.T) {
 	var mu sync.Mutex
 	count := map[string]int{}
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -156,24 +156,24 @@
 }
 
 // Load reads the whole store and checks that the log has no gaps.
-func (s *Store) Load() (k *StoredState, err error) {
+func (s *Store) Load() (stored *StoredState, err error) {
 	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // the file may have been truncated after it was mapped
-	k = &StoredState{}
+	stored = &StoredState{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if meta == nil || entries == nil {
 			return fmt.Errorf("%w: %s: a bucket is missing", ErrCorrupt, s.path)
 		}
 		if b := meta.Get(keyHardState); b != nil {
-			k.HardState = &pb.HardState{}
-			if err := s.readMessage(b, "hard state", k.HardState); err != nil {
+			stored.HardState = &pb.HardState{}
+			if err := s.readMessage(b, "hard state", stored.HardState); err != nil {
 				return err
 			}
 		}
 		if b := meta.Get(keySnapshot); b != nil {
-			k.Snapshot = &pb.Snapshot{}
-			if err := s.readMessage(b, "snapshot", k.Snapshot); err != nil {
+			stored.Snapshot = &pb.Snapshot{}
+			if err := s.readMessage(b, "snapshot", stored.Snapshot); err != nil {
 				return err
 			}
 		}
@@ -185,7 +185,7 @@
 			}
 			lastIndex = binary.BigEndian.Uint64(v)
 		}
-		nextIndex := k.Snapshot.GetMetadata().GetIndex() + 1
+		nextIndex := stored.Snapshot.GetMetadata().GetIndex() + 1
 		err := entries.ForEach(func(key, b []byte) error {
 			e := &pb.Entry{}
 			label := fmt.Sprintf("entry %x", key)
@@ -196,10 +196,10 @@
 				return fmt.Errorf("%w: %s: %s is out of sequence, expected index %d", ErrCorrupt, s.path, label, nextIndex)
 			}
 			nextIndex++
-			k.Entries = append(k.Entries, e)
+			stored.Entries = append(stored.Entries, e)
 			return nil
 		})
-		if err == nil && nextIndex-1 != max(lastIndex, k.Snapshot.GetMetadata().GetIndex()) {
+		if err == nil && nextIndex-1 != max(lastIndex, stored.Snapshot.GetMetadata().GetIndex()) {
 			err = fmt.Errorf("%w: %s: log ends at index %d, expected %d", ErrCorrupt, s.path, nextIndex-1, lastIndex)
 		}
 		return err
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return k, nil
+	return stored, nil
 }
 
 func (s *Store) readMessage(b []byte, label string, into proto.Message) error {
@@ -230,42 +230,42 @@
 }
 
 // Save stores a batch atomically.
-func (s *Store) Save(c *WriteBatch) (err error) {
+func (s *Store) Save(batch *WriteBatch) (err error) {
 	defer s.recoverPanic(&err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
-		if c.HardState != nil {
-			if err := putMessage(meta, keyHardState, c.HardState); err != nil {
+		if batch.HardState != nil {
+			if err := putMessage(meta, keyHardState, batch.HardState); err != nil {
 				return err
 			}
 		}
-		if c.Snapshot != nil {
-			if err := putMessage(meta, keySnapshot, c.Snapshot); err != nil {
+		if batch.Snapshot != nil {
+			if err := putMessage(meta, keySnapshot, batch.Snapshot); err != nil {
 				return err
 			}
-			snapshotIndex := c.Snapshot.GetMetadata().GetIndex()
-			if err := deleteEntries(entries, 0, func(i uint64) bool { return c.Received || i <= snapshotIndex }); err != nil {
+			snapshotIndex := batch.Snapshot.GetMetadata().GetIndex()
+			if err := deleteEntries(entries, 0, func(i uint64) bool { return batch.Received || i <= snapshotIndex }); err != nil {
 				return err
 			}
 		}
-		if len(c.Entries) > 0 {
-			if err := deleteEntries(entries, c.Entries[0].GetIndex(), func(uint64) bool { return true }); err != nil {
+		if len(batch.Entries) > 0 {
+			if err := deleteEntries(entries, batch.Entries[0].GetIndex(), func(uint64) bool { return true }); err != nil {
 				return err
 			}
 		}
 		entries.FillPercent = 0.9 // entries are appended in order
-		for _, e := range c.Entries {
+		for _, e := range batch.Entries {
 			if err := putMessage(entries, encodeUint64(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
 		// The last index is stored apart from the entries: a corrupt branch page may hide some.
 		switch {
-		case len(c.Entries) > 0:
-			return meta.Put(keyLastIndex, addChecksum(encodeUint64(c.Entries[len(c.Entries)-1].GetIndex())))
-		case c.Received:
-			return meta.Put(keyLastIndex, addChecksum(encodeUint64(c.Snapshot.GetMetadata().GetIndex())))
+		case len(batch.Entries) > 0:
+			return meta.Put(keyLastIndex, addChecksum(encodeUint64(batch.Entries[len(batch.Entries)-1].GetIndex())))
+		case batch.Received:
+			return meta.Put(keyLastIndex, addChecksum(encodeUint64(batch.Snapshot.GetMetadata().GetIndex())))
 		}
 		return nil
 	})
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -27,7 +27,7 @@
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-// describe is what a store holds, to compare.
+// describe returns the stored state as text, for comparison.
 func describe(k *StoredState) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %d %d %q", k.HardState.GetTerm(), k.HardState.GetCommit(), k.Snapshot.GetMetadata().GetIndex(), k.Snapshot.GetData())
@@ -51,7 +51,7 @@
 	return describe(k), nil
 }
 
-// The store does as the simulation's disk does, whatever is saved, also over reopenings.
+// Store must behave as memStorage does after any sequence of saves, also after reopening.
 func TestStoreMatchesMemStorage(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 4))
@@ -105,7 +105,8 @@
 	}
 }
 
-// writeStore makes a store and returns its bytes before and after its last change.
+// writeStore writes a store and returns its bytes and its described state before and after
+// the last save.
 func writeStore(t testing.TB) (before, after []byte, wantBefore, wantAfter string) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, err := OpenStore(path, 1)
@@ -135,15 +136,15 @@
 	return before, after, wantBefore, wantAfter
 }
 
-// Any one flipped bit, and any file cut short, is found, or does no harm: what is loaded
-// is what was saved, or there is an error that names the file.
+// A flipped bit or a truncated file must be detected or harmless: Load returns what was
+// saved, or an error that names the file.
 func TestFlippedBits(t *testing.T) {
 	_, after, _, want := writeStore(t)
 	dir, n := t.TempDir(), 0
 	r := rand.New(rand.NewPCG(1, 1))
 	found, harmless := 0, 0
 	loadDamaged := func(b []byte, what string) {
-		n++ // a file of its own: a spoilt one may stay locked
+		n++ // a new file each time: a corrupt one may stay locked
 		path := filepath.Join(dir, fmt.Sprint(n))
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
@@ -151,7 +152,7 @@
 		got, err := loadStore(t, path)
 		switch {
 		case err != nil && (!strings.Contains(err.Error(), path) || !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStoreMismatch)):
-			t.Fatalf("%s: not an error of this file: %v", what, err)
+			t.Fatalf("%s: error does not name the file: %v", what, err)
 		case err != nil:
 			found++
 		case got == want:
@@ -175,9 +176,9 @@
 	t.Logf("%d found, %d harmless", found, harmless)
 }
 
-// A write that was torn by a crash leaves the state before it: any part of its pages,
-// in any order, without the root that makes them count. A root that is half written,
-// which disks don't do, is refused, since a spoilt one looks alike.
+// A write that a crash interrupts must leave the state before it: any subset of its pages
+// may be written, but not the meta page that commits them. A partly written meta page,
+// which disks don't produce, is rejected, since it looks like a corrupt one.
 func TestTornWrite(t *testing.T) {
 	before, after, wantBefore, wantAfter := writeStore(t)
 	const page = 4096
@@ -188,13 +189,13 @@
 		if len(after) > len(b) {
 			b = append(b, make([]byte, len(after)-len(b))...)
 		}
-		for p := 2; p < len(after)/page; p++ { // pages 0 and 1 are the roots
+		for p := 2; p < len(after)/page; p++ { // pages 0 and 1 are the meta pages
 			if r.IntN(2) == 0 {
 				copy(b[p*page:(p+1)*page], after[p*page:(p+1)*page])
 			}
 		}
 		want, partialMetaPage := wantBefore, false
-		if r.IntN(2) == 0 { // all pages, and a part of a root
+		if r.IntN(2) == 0 { // all pages, and part of a meta page
 			copy(b[2*page:], after[2*page:])
 			for p := range 2 {
 				if !bytes.Equal(before[p*page:(p+1)*page], after[p*page:(p+1)*page]) {
