--- a/cmd/violetspan/run.go
+++ b/cmd/violetspan/run.go
@@ -43,24 +43,24 @@
 }
 
 func newProxy(serviceFile string, log *slog.Logger) (*proxy.Proxy, error) {
-	var platform *config.Platform
-	var hosted *config.Service
+	var platformConfig *config.Platform
+	var serviceConfig *config.Service
 	var err error
 	if serviceFile == "" || os.Getenv("ROUTER_CONFIG") != "" {
-		if platform, err = config.FromEnv(os.Getenv); err != nil {
+		if platformConfig, err = config.FromEnv(os.Getenv); err != nil {
 			return nil, err
 		}
-		log = log.With("proxy", platform.Name)
+		log = log.With("proxy", platformConfig.Name)
 		// Well below the memory use at which the platform kills the process.
-		debug.SetMemoryLimit(platform.ResourceLimits().SoftMemoryBytes)
+		debug.SetMemoryLimit(platformConfig.ResourceLimits().SoftMemoryBytes)
 	}
 	if serviceFile != "" {
-		if hosted, err = config.LoadService(serviceFile, os.Getenv); err != nil {
+		if serviceConfig, err = config.LoadService(serviceFile, os.Getenv); err != nil {
 			return nil, err
 		}
 	}
-	p, err := proxy.New(platform, hosted, log)
-	if err == nil && platform != nil {
+	p, err := proxy.New(platformConfig, serviceConfig, log)
+	if err == nil && platformConfig != nil {
 		p.ReadConfig = func() (*config.Platform, error) { return config.FromEnv(os.Getenv) }
 	}
 	return p, err
--- a/internal/proxy/mixed_test.go
+++ b/internal/proxy/mixed_test.go
@@ -18,53 +18,54 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-// judge holds the rules against every call of the mixed test. A call is known
-// by the number it calls, which passes through both fronts unchanged.
-type judge struct {
+// callChecker checks the rules for every call of the mixed test. It identifies a call by its
+// called number, which both the platform server and the call API pass on unchanged.
+type callChecker struct {
 	t  *testing.T
 	mu sync.Mutex
 	// By number:
-	out      map[string]string // the switch that an attempt is out at
-	rest     map[string]time.Time
-	made     map[string]map[string]bool // descriptions that switches made
-	answers  map[string]int
-	deadline map[string]time.Time
-	standing map[string]bool
-	attempts int
-	drained  time.Time // when s1 was told to drain
+	outstanding  map[string]string // switch with an outstanding attempt
+	notBefore    map[string]time.Time
+	descriptions map[string]map[string]bool // descriptions in the switches' answers
+	answers      map[string]int
+	deadline     map[string]time.Time
+	established  map[string]bool
+	attempts     int
+	drainTime    time.Time // when s1 began to drain
 }
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	mixedCalls = 300
-	mixedRest  = 30 * time.Millisecond // releaseMs of the tests' settings
-	drainGrace = 500 * time.Millisecond
+	mixedCalls   = 300
+	mixedBackoff = 30 * time.Millisecond // releaseMs in the tests' settings
+	drainGrace   = 500 * time.Millisecond
 )
 
-// sent notes that a set-up has reached a switch, and says what comes of it.
-func (j *judge) sent(at, number string) (does, description string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// attemptStarted records a set-up that arrived at a switch, and returns what the switch does
+// with it: "answer" with a description, "full", "fault", "break" or "silent".
+func (checker *callChecker) attemptStarted(at, number string) (action, description string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	now := time.Now()
-	if other := j.out[number]; other != "" {
-		j.t.Errorf("call to %s: an attempt at %s while one is out at %s", number, at, other)
+	if other := checker.outstanding[number]; other != "" {
+		checker.t.Errorf("call to %s: an attempt at %s while one is outstanding at %s", number, at, other)
 	}
-	if now.Before(j.rest[number]) {
-		j.t.Errorf("call to %s: sent %v before the end of its rest", number, j.rest[number].Sub(now))
+	if now.Before(checker.notBefore[number]) {
+		checker.t.Errorf("call to %s: sent %v before the end of its retry backoff", number, checker.notBefore[number].Sub(now))
 	}
-	if at == "s1" && !j.drained.IsZero() && now.After(j.drained.Add(drainGrace)) {
-		j.t.Errorf("call to %s: sent to a switch that drains", number)
+	if at == "s1" && !checker.drainTime.IsZero() && now.After(checker.drainTime.Add(drainGrace)) {
+		checker.t.Errorf("call to %s: sent to a draining switch", number)
 	}
-	j.attempts++
-	j.out[number] = at
+	checker.attempts++
+	checker.outstanding[number] = at
 	switch n := rand.IntN(100); {
 	case n < 65:
-		description = fmt.Sprintf("made for %s by %s, %d", number, at, j.attempts)
-		if j.made[number] == nil {
-			j.made[number] = map[string]bool{}
+		description = fmt.Sprintf("made for %s by %s, %d", number, at, checker.attempts)
+		if checker.descriptions[number] == nil {
+			checker.descriptions[number] = map[string]bool{}
 		}
-		j.made[number][description] = true
+		checker.descriptions[number][description] = true
 		return "answer", description
 	case n < 85:
 		return "full", ""
@@ -76,59 +77,60 @@
 	return "silent", ""
 }
 
-// ended notes that an attempt's end leaves its switch, or has reached it.
-func (j *judge) ended(at, number string, rests bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.out[number] == at {
-		delete(j.out, number)
-		if rests {
-			j.rest[number] = time.Now().Add(mixedRest)
+// attemptEnded records the end of an attempt when its switch sends or receives it. backoff
+// reports whether the call's next attempt must wait for the retry backoff, starting now.
+func (checker *callChecker) attemptEnded(at, number string, backoff bool) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if checker.outstanding[number] == at {
+		delete(checker.outstanding, number)
+		if backoff {
+			checker.notBefore[number] = time.Now().Add(mixedBackoff)
 		}
 	}
 }
 
-// final notes the final answer that a caller got.
-func (j *judge) final(number string, stands bool, description string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.answers[number]++; j.answers[number] > 1 {
-		j.t.Errorf("call to %s: answered %d times", number, j.answers[number])
+// finalAnswer records the final answer received by a caller.
+func (checker *callChecker) finalAnswer(number string, established bool, description string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if checker.answers[number]++; checker.answers[number] > 1 {
+		checker.t.Errorf("call to %s: answered %d times", number, checker.answers[number])
 	}
-	if late := time.Since(j.deadline[number]); late > 0 {
-		j.t.Errorf("call to %s: answered %v late", number, late)
+	if delay := time.Since(checker.deadline[number]); delay > 0 {
+		checker.t.Errorf("call to %s: answered %v late", number, delay)
 	}
-	if stands && !j.made[number][description] {
-		j.t.Errorf("call to %s: answered with %q, which no switch made for it", number, description)
+	if established && !checker.descriptions[number][description] {
+		checker.t.Errorf("call to %s: answered with %q, which no switch sent for it", number, description)
 	}
-	j.standing[number] = stands
+	checker.established[number] = established
 }
 
-func (j *judge) released(number string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if !j.standing[number] {
-		j.t.Errorf("call to %s: released without standing", number)
+func (checker *callChecker) released(number string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if !checker.established[number] {
+		checker.t.Errorf("call to %s: released though not established", number)
 	}
-	j.standing[number] = false
+	checker.established[number] = false
 }
 
-// begin notes a call that is about to be offered.
-func (j *judge) begin(number string, wait time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.deadline[number] = time.Now().Add(wait)
+// offered records a call that a caller is about to send.
+func (checker *callChecker) offered(number string, wait time.Duration) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.deadline[number] = time.Now().Add(wait)
 }
 
-// releases sends a switch's releases, as the protocol has it: on the newest
-// connection, and all of them again on the next one that opens.
-type releases struct {
+// releaseSender sends the releases of a switch. As the protocol requires, it sends them on
+// the newest connection and repeats all of them on the next connection that opens.
+type releaseSender struct {
 	mu     sync.Mutex
 	latest net.Conn
 	ids    []uint64
 }
 
-func (r *releases) opened(c net.Conn) {
+func (r *releaseSender) connOpened(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.latest = c
@@ -138,24 +140,24 @@
 	r.ids = nil
 }
 
-func (r *releases) send(id uint64) {
+func (r *releaseSender) send(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ids = append(r.ids, id)
 	r.write(id)
 }
 
-func (r *releases) write(id uint64) {
+func (r *releaseSender) write(id uint64) {
 	m := sig.WithCause(sig.Release, id, sig.CauseNormal)
 	b, _ := m.Append(nil)
 	r.latest.Write(b)
 }
 
-// binarySwitch plays a switch on the binary protocol until the test ends.
-func (j *judge) binarySwitch(sw *standIn) {
-	var over releases
+// runBinarySwitch emulates a switch with the binary protocol until the test ends.
+func (checker *callChecker) runBinarySwitch(sw *standIn) {
+	var sender releaseSender
 	for c := range sw.conns {
-		over.opened(c)
+		sender.connOpened(c)
 		go func() {
 			defer c.Close()
 			numbers, in := map[uint64]string{}, bufio.NewReader(c)
@@ -164,7 +166,7 @@
 				m, err := sig.Read(in)
 				if err != nil {
 					for _, n := range numbers {
-						j.ended(sw.name, n, false) // the proxy closed it: its rest began before
+						checker.attemptEnded(sw.name, n, false) // closed by the proxy: the backoff began earlier
 					}
 					return
 				}
@@ -173,34 +175,34 @@
 				case sig.SetUp:
 					n = string(m.Get(sig.ParamNumber))
 					numbers[m.Call] = n
-					does, d := j.sent(sw.name, n)
-					switch does {
+					action, description := checker.attemptStarted(sw.name, n)
+					switch action {
 					case "answer":
-						j.ended(sw.name, n, false)
-						send(sig.Message{Type: sig.Answer, Call: m.Call, Params: []sig.Param{{Code: sig.ParamDescription, Value: []byte(d)}}})
-						time.AfterFunc(20*time.Millisecond, func() { over.send(m.Call) })
+						checker.attemptEnded(sw.name, n, false)
+						send(sig.Message{Type: sig.Answer, Call: m.Call, Params: []sig.Param{{Code: sig.ParamDescription, Value: []byte(description)}}})
+						time.AfterFunc(20*time.Millisecond, func() { sender.send(m.Call) })
 					case "full", "fault":
-						cause := map[string]byte{"full": sig.CauseNoCircuit, "fault": sig.CauseResourceUnavailable}[does]
-						j.ended(sw.name, n, false)
+						cause := map[string]byte{"full": sig.CauseNoCircuit, "fault": sig.CauseResourceUnavailable}[action]
+						checker.attemptEnded(sw.name, n, false)
 						send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{
 							{Code: sig.ParamCauseDetail, Value: []byte("no_path")}, {Code: sig.ParamCause, Value: []byte{cause}}}})
 					case "break":
 						for _, n := range numbers {
-							j.ended(sw.name, n, true)
+							checker.attemptEnded(sw.name, n, true)
 						}
 						return
 					}
 				case sig.Release:
-					j.ended(sw.name, n, false) // its rest began before this was read
+					checker.attemptEnded(sw.name, n, false) // the backoff began before the release was read
 				}
 			}
 		}()
 	}
 }
 
-// apiSwitch plays a switch that speaks the call API.
-func (j *judge) apiSwitch(sw *standIn) {
-	for c := range sw.ws {
+// runAPISwitch emulates a switch that speaks the call API until the test ends.
+func (checker *callChecker) runAPISwitch(sw *standIn) {
+	for c := range sw.sockets {
 		go func() {
 			defer c.CloseNow()
 			ctx, numbers := context.Background(), map[string]string{}
@@ -209,7 +211,7 @@
 				var m struct{ Type, Call, Number string }
 				if err != nil || json.Unmarshal(b, &m) != nil {
 					for _, n := range numbers {
-						j.ended(sw.name, n, false)
+						checker.attemptEnded(sw.name, n, false)
 					}
 					return
 				}
@@ -217,20 +219,20 @@
 					c.Write(ctx, websocket.MessageText, fmt.Appendf(nil, form, args...))
 				}
 				if m.Type == "release" {
-					j.ended(sw.name, numbers[m.Call], false)
+					checker.attemptEnded(sw.name, numbers[m.Call], false)
 					continue
 				}
 				numbers[m.Call] = m.Number
-				switch does, d := j.sent(sw.name, m.Number); does {
+				switch action, description := checker.attemptStarted(sw.name, m.Number); action {
 				case "answer":
-					j.ended(sw.name, m.Number, false)
-					send(`{"type":"answer","call":%q,"description":%q}`, m.Call, d)
+					checker.attemptEnded(sw.name, m.Number, false)
+					send(`{"type":"answer","call":%q,"description":%q}`, m.Call, description)
 					time.AfterFunc(20*time.Millisecond, func() { send(`{"type":"released","call":%q,"reason":"ended"}`, m.Call) })
 				case "full":
-					j.ended(sw.name, m.Number, false)
+					checker.attemptEnded(sw.name, m.Number, false)
 					send(`{"type":"refused","call":%q,"reason":"no_circuit"}`, m.Call)
 				case "fault", "break":
-					j.ended(sw.name, m.Number, false)
+					checker.attemptEnded(sw.name, m.Number, false)
 					send(`{"type":"failed","call":%q}`, m.Call)
 				}
 			}
@@ -238,19 +240,19 @@
 	}
 }
 
-// binaryCaller offers calls on one connection, some of which it gives up.
-func (j *judge) binaryCaller(s *script, first uint64, calls int) error {
+// runBinaryCaller offers calls on one connection, with random waits, and checks their answers.
+func (checker *callChecker) runBinaryCaller(s *script, first uint64, calls int) error {
 	c, err := net.Dial("tcp", s.p.CallAddr.String())
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(3 * patience))
+	c.SetDeadline(time.Now().Add(3 * testTimeout))
 	go func() {
 		for id := first; id < first+uint64(calls); id++ {
 			number := strconv.FormatUint(id, 10)
 			wait := time.Duration(700+rand.IntN(900)) * time.Millisecond
-			j.begin(number, wait+patience) // the scripts hold the moment; this one only catches a lost call
+			checker.offered(number, wait+testTimeout) // only detects lost calls; the scripts check the exact time
 			m := sig.Message{Type: sig.SetUp, Call: id, Params: []sig.Param{
 				{Code: sig.ParamClass, Value: []byte("space-check")}, {Code: sig.ParamNumber, Value: []byte(number)},
 				{Code: sig.ParamWait, Value: strconv.AppendInt(nil, wait.Milliseconds(), 10)},
@@ -261,9 +263,9 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	in, over := bufio.NewReader(c), 0
-	stood := map[uint64]bool{}
-	for over < calls {
+	in, ended := bufio.NewReader(c), 0
+	established := map[uint64]bool{}
+	for ended < calls {
 		m, err := sig.Read(in)
 		if err != nil {
 			return err
@@ -271,52 +273,52 @@
 		number := strconv.FormatUint(m.Call, 10)
 		switch {
 		case m.Type == sig.Answer:
-			j.final(number, true, string(m.Get(sig.ParamDescription)))
-			stood[m.Call] = true
-		case m.Type == sig.Release && stood[m.Call]:
-			j.released(number)
-			over++
+			checker.finalAnswer(number, true, string(m.Get(sig.ParamDescription)))
+			established[m.Call] = true
+		case m.Type == sig.Release && established[m.Call]:
+			checker.released(number)
+			ended++
 		case m.Type == sig.Release:
-			j.final(number, false, "")
-			over++
+			checker.finalAnswer(number, false, "")
+			ended++
 		}
 	}
 	return nil
 }
 
-// apiCaller offers calls over a WebSocket, asks for every third one twice, and
-// comes back on a new socket after closing one in the middle of set-ups.
-func (j *judge) apiCaller(s *script, first uint64, calls int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*patience)
+// runAPICaller offers calls over WebSockets. It sends every third set-up twice, and closes
+// each socket while set-ups are pending to repeat them on a new one.
+func (checker *callChecker) runAPICaller(s *script, first uint64, calls int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	defer cancel()
-	seen, over := map[string]string{}, 0 // the first answer to each call
+	firstAnswers, ended := map[string]string{}, 0 // first answer to each call, by its id
 	for from := first; from < first+uint64(calls); from += 50 {
 		c, _, err := dialAPI(ctx, s.p, testToken)
 		if err != nil {
 			return err
 		}
-		ask := func(c *websocket.Conn, id uint64) error {
+		sendSetUp := func(c *websocket.Conn, id uint64) error {
 			return c.Write(ctx, websocket.MessageText, fmt.Appendf(nil,
 				`{"type":"setup","call":"%d","class":"space-check","number":"%d","dest":%d,"wait_ms":1500}`, id, id, 1+id%3))
 		}
 		for id := from; id < from+50; id++ {
-			j.begin(strconv.FormatUint(id, 10), patience)
-			if err := ask(c, id); err != nil {
+			checker.offered(strconv.FormatUint(id, 10), testTimeout)
+			if err := sendSetUp(c, id); err != nil {
 				return err
 			}
 			if id%3 == 0 {
-				if err := ask(c, id); err != nil {
+				if err := sendSetUp(c, id); err != nil {
 					return err
 				}
 			}
 			time.Sleep(4 * time.Millisecond)
 		}
-		c.CloseNow() // whatever is not answered yet is given up
+		c.CloseNow() // gives up the calls that have no answer yet
 		if c, _, err = dialAPI(ctx, s.p, testToken); err != nil {
 			return err
 		}
 		for id := from; id < from+50; id++ {
-			if err := ask(c, id); err != nil {
+			if err := sendSetUp(c, id); err != nil {
 				return err
 			}
 		}
@@ -327,71 +329,72 @@
 				return fmt.Errorf("%s: %w", b, err)
 			}
 			answer := m.Type + " " + m.Description
-			switch was, known := seen[m.Call]; {
+			switch previous, known := firstAnswers[m.Call]; {
 			case m.Type == "error":
 				return fmt.Errorf("call %s: %s", m.Call, b)
 			case m.Type == "released":
-				// Comes twice if it was told to a socket of the tenant before.
-			case known && was != answer:
-				j.t.Errorf("call %s: answered with %q and with %q", m.Call, was, answer)
+				// Arrives twice if another socket of the tenant received it before.
+			case known && previous != answer:
+				checker.t.Errorf("call %s: answered with %q and later with %q", m.Call, previous, answer)
 			case !known:
-				seen[m.Call] = answer
-				j.final(m.Call, m.Type == "answer", m.Description)
+				firstAnswers[m.Call] = answer
+				checker.finalAnswer(m.Call, m.Type == "answer", m.Description)
 				n++
-				over++
+				ended++
 			}
 		}
 		c.CloseNow()
 	}
-	if over != calls {
-		j.t.Errorf("%d of %d calls answered", over, calls)
+	if ended != calls {
+		checker.t.Errorf("%d of %d calls answered", ended, calls)
 	}
 	return nil
 }
 
-// Callers and switches of both kinds at once, with breaks, silence, closes in
-// mid set-up, duplicates and a drain: every rule is held for every call.
+// Runs callers and switches of both protocols concurrently, with broken connections, silent
+// switches, connections closed during set-up, duplicates and a drain, and checks every rule
+// for every call.
 func TestMixedCallersKeepTheRules(t *testing.T) {
 	t.Parallel()
-	// A short goal time makes short ticks, so that credit comes fast enough.
+	// A short goal time gives short ticks, so that credit accumulates fast enough.
 	s := start(t, "\ns1\ns2\nx3", strings.ReplaceAll(settingsJSON, `"goalTimeMs":8000`, `"goalTimeMs":200`))
-	j := &judge{t: t, out: map[string]string{}, rest: map[string]time.Time{}, made: map[string]map[string]bool{},
-		answers: map[string]int{}, deadline: map[string]time.Time{}, standing: map[string]bool{}}
-	go j.binarySwitch(s.switches["s1"])
-	go j.binarySwitch(s.switches["s2"])
-	go j.apiSwitch(s.switches["x3"])
+	checker := &callChecker{t: t, outstanding: map[string]string{}, notBefore: map[string]time.Time{}, descriptions: map[string]map[string]bool{},
+		answers: map[string]int{}, deadline: map[string]time.Time{}, established: map[string]bool{}}
+	go checker.runBinarySwitch(s.switches["s1"])
+	go checker.runBinarySwitch(s.switches["s2"])
+	go checker.runAPISwitch(s.switches["x3"])
 	var wg sync.WaitGroup
 	for i := range 2 {
 		wg.Go(func() {
-			if err := j.binaryCaller(s, uint64(1000*(i+1)), mixedCalls); err != nil {
+			if err := checker.runBinaryCaller(s, uint64(1000*(i+1)), mixedCalls); err != nil {
 				t.Errorf("binary caller: %v", err)
 			}
 		})
 		wg.Go(func() {
-			if err := j.apiCaller(s, uint64(100000*(i+1)), mixedCalls); err != nil {
+			if err := checker.runAPICaller(s, uint64(100000*(i+1)), mixedCalls); err != nil {
 				t.Errorf("client of the call API: %v", err)
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	s.line(ctx, `list {"complete":false,"members":[{s1 1 draining}]}`)
-	s.line(ctx, "sync draining id-s1")
-	j.mu.Lock()
-	j.drained = time.Now()
-	j.mu.Unlock()
+	s.runLine(ctx, `list {"complete":false,"members":[{s1 1 draining}]}`)
+	s.runLine(ctx, "sync draining id-s1")
+	checker.mu.Lock()
+	checker.drainTime = time.Now()
+	checker.mu.Unlock()
 	wg.Wait()
-	s.line(ctx, "sync calls 0 0")
-	if len(j.answers) != 4*mixedCalls {
-		t.Errorf("%d calls answered, want %d", len(j.answers), 4*mixedCalls)
+	s.runLine(ctx, "sync calls 0 0")
+	if len(checker.answers) != 4*mixedCalls {
+		t.Errorf("%d calls answered, want %d", len(checker.answers), 4*mixedCalls)
 	}
-	stood := 0
-	for _, m := range j.made {
-		stood += len(m)
+	answers := 0
+	for _, m := range checker.descriptions {
+		answers += len(m)
 	}
-	if j.attempts == 0 || stood == 0 { // how many there are is up to the machine's speed
-		t.Errorf("%d attempts and %d answers: the test tests nothing", j.attempts, stood)
+	if checker.attempts == 0 || answers == 0 { // their number depends on the machine's speed
+		t.Errorf("%d attempts and %d answers, want at least one of each", checker.attempts, answers)
 	}
-	t.Logf("%d attempts, %d answered by switches", j.attempts, stood)
+	t.Logf("%d attempts, %d answered by switches", checker.attempts, answers)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy puts the core and its fronts together and leads them from
-// start to exit.
+// Package proxy assembles a signalling proxy from the core, the platform server and the
+// call API, and controls it from start-up to exit.
 package proxy
 
 import (
@@ -31,15 +31,15 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Phase is where a Proxy is between its start and its exit.
+// Phase is a stage in the life of a Proxy.
 type Phase int32
 
-// The phases, in their order.
+// The phases, in order.
 const (
-	Starting  Phase = iota // reads the list and connects
-	Serving                // takes calls
-	Grace                  // was told to stop; still takes the calls that come
-	Finishing              // takes none; gives the last answers and passes on releases
+	Starting  Phase = iota // loads the switch list and connects
+	Serving                // accepts calls
+	Grace                  // shutdown was requested; new calls are still accepted
+	Finishing              // accepts no calls; sends the pending answers and forwards releases
 	Stopped
 )
 
@@ -47,90 +47,95 @@
 	return [...]string{"starting", "serving", "grace", "finishing", "stopped"}[p]
 }
 
-// How long the phases after the order to stop last. The platform sends new
-// calls for 0.6 s after it. It kills at the earliest when the longest deadline, counted as
-// killDeadline where it is longer, and killAfter have passed; until then its callers use
-// the connections that are open. Exiting with an answer owed loses the call, and so does a
-// kill that finds a late one unanswered.
+// Timing of a shutdown. After the platform requests it, it sends new calls for another
+// 0.6 s. It kills the process no earlier than the longest deadline, capped at
+// maxCountedDeadline, plus killDelay after the request; until then callers use their open
+// connections. A call is lost if the proxy exits, or is killed, while the final answer is
+// pending.
 const (
-	graceFor     = 700 * time.Millisecond
-	killDeadline = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
-	exitBefore   = 350 * time.Millisecond // the last connection is closed so long before the kill
-	unprovenFor  = 250 * time.Millisecond // for telling callers of calls that may be over, before that
-	answerFor    = 65 * time.Second       // for answers; clients of the call API wait for a minute at most
+	graceDuration        = 700 * time.Millisecond
+	maxCountedDeadline   = 3 * time.Second
+	killDelay            = 700 * time.Millisecond
+	exitMargin           = 350 * time.Millisecond // time between closing the last connection and the kill
+	unverifiedCallsTime  = 250 * time.Millisecond // time before the exit for notifying callers of calls that may have ended
+	serviceAnswerTimeout = 65 * time.Second       // without a platform; clients of the call API wait for at most 1 min
 )
 
 const (
-	maxCalls   = 4096 // without a platform, which says how much memory there is
-	adminConns = 16
+	maxCalls      = 4096 // without a platform, whose configuration would specify the memory
+	maxAdminConns = 16
 
-	maxKeptBytes = 32 << 20
-	maxPools     = 1 << 12 // destinations, where the settings don't say how many there are
-	otherSockets = 64      // switches, listeners, the command channel, the log
+	maxStoredBytes  = 32 << 20
+	maxDestinations = 1 << 12 // if the settings don't specify the number of destinations
+	reservedSockets = 64      // file descriptors for switches, listeners, the command channel and the log
 )
 
-// Proxy is one signalling proxy.
+// Proxy is a signalling proxy. Use New to create one.
 type Proxy struct {
 	platform *config.Platform // nil: off
 	service  *config.Service  // nil: off
 	log      *slog.Logger
-	count    *metrics.Set
+	metrics  *metrics.Set
 	phase    atomic.Int32
 
-	// ReadConfig reads the platform's configuration anew for Reload; nil: it stays.
+	// ReadConfig reads the platform's configuration again for Reload. If it is nil, Reload
+	// keeps the current one.
 	ReadConfig func() (*config.Platform, error)
 
-	core    *core.Core
-	front   *platform.Server
-	channel *platform.CommandChannel
-	api     *callapi.Server
-	tenants *tenant.Registry
-	planner *planner.Loop // nil: off
-	reload  sync.Mutex
-	cert    atomic.Pointer[tls.Certificate] // of the hosted service; nil: no TLS
-	// Where it listens, for those who let the system choose the ports.
+	core        *core.Core
+	server      *platform.Server
+	channel     *platform.CommandChannel
+	api         *callapi.Server
+	tenants     *tenant.Registry
+	planner     *planner.Loop // nil: off
+	reloadMutex sync.Mutex
+	cert        atomic.Pointer[tls.Certificate] // of the hosted service; nil: no TLS
+	// The listening addresses, for configurations with port 0. They are set before ready is
+	// called; see Run.
 	CallAddr, APIAddr, AdminAddr net.Addr
 }
 
-// New makes a proxy with one front or both.
-func New(pf *config.Platform, sv *config.Service, log *slog.Logger) (*Proxy, error) {
-	if pf == nil && (sv == nil || sv.Settings == nil) {
-		return nil, errors.New("key settings: missing, and no platform gives them")
+// New returns a proxy for the platform, the hosted service or both; a nil configuration
+// turns the respective part off.
+func New(platformConfig *config.Platform, serviceConfig *config.Service, log *slog.Logger) (*Proxy, error) {
+	if platformConfig == nil && (serviceConfig == nil || serviceConfig.Settings == nil) {
+		return nil, errors.New("key settings: missing, and there is no platform configuration to take them from")
 	}
-	if pf != nil && sv != nil && pf.Sockets/2+sv.MaxConns+adminConns+otherSockets > pf.Sockets {
-		return nil, fmt.Errorf("key callapi.max_connections: %d is too many beside the platform's callers with %d descriptors in all",
-			sv.MaxConns, pf.Sockets)
+	if platformConfig != nil && serviceConfig != nil && platformConfig.Sockets/2+serviceConfig.MaxConns+maxAdminConns+reservedSockets > platformConfig.Sockets {
+		return nil, fmt.Errorf("key callapi.max_connections: %d and the platform's callers together exceed the limit of %d descriptors",
+			serviceConfig.MaxConns, platformConfig.Sockets)
 	}
-	return &Proxy{platform: pf, service: sv, log: log, count: metrics.New()}, nil
+	return &Proxy{platform: platformConfig, service: serviceConfig, log: log, metrics: metrics.New()}, nil
 }
 
-// Phase tells where the proxy is.
+// Phase returns the current phase.
 func (p *Proxy) Phase() Phase { return Phase(p.phase.Load()) }
 
-func (p *Proxy) enter(ph Phase) {
-	p.phase.Store(int32(ph))
-	p.log.Info("phase", "phase", ph.String())
-	if ph > Serving {
-		p.log.LogAttrs(context.Background(), slog.LevelInfo, "metrics", p.count.Attrs()...)
+func (p *Proxy) enterPhase(phase Phase) {
+	p.phase.Store(int32(phase))
+	p.log.Info("phase", "phase", phase.String())
+	if phase > Serving {
+		p.log.LogAttrs(context.Background(), slog.LevelInfo, "metrics", p.metrics.Attrs()...)
 	}
 }
 
-// Run serves until the context ends, then finishes what was taken. Each value
-// on hup reloads the configuration and the inventory. It calls ready, if given, once it serves.
+// Run serves until the context ends, then completes the accepted calls and returns. It
+// reloads the configuration and the inventory for each value received from hup, and calls
+// ready, if not nil, when it starts to serve. It returns the error of the first component
+// that failed, if any.
 func (p *Proxy) Run(ctx context.Context, hup <-chan os.Signal, ready func()) error {
-	p.enter(Starting)
-	defer p.enter(Stopped)
-	base, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	g, life := errgroup.WithContext(base)
-	stop, err := p.start(life, g)
+	p.enterPhase(Starting)
+	defer p.enterPhase(Stopped)
+	baseCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	g, serveCtx := errgroup.WithContext(baseCtx)
+	stop, err := p.start(serveCtx, g)
 	if err != nil {
-		end()
+		cancel()
 		return errors.Join(err, g.Wait())
 	}
 
-	p.enter(Serving)
+	p.enterPhase(Serving)
 	if ready != nil {
 		ready()
 	}
@@ -138,83 +143,84 @@
 	for {
 		select {
 		case <-hup:
-			p.reloadIfAsked()
+			p.reloadOrLog()
 		case <-ctx.Done():
 			break serving
-		case <-life.Done(): // a part failed: its error is the group's
+		case <-serveCtx.Done(): // a component failed; the group returns its error
 			break serving
 		}
 	}
 
-	p.enter(Grace)
-	exit := time.Now().Add(p.longestDeadline() + killAfter - exitBefore)
-	p.core.ProbeEarly() // what stands at silent switches is verified before nobody knows of it
-	p.serveFor(life, hup, graceFor)
+	p.enterPhase(Grace)
+	exitTime := time.Now().Add(p.countedDeadline() + killDelay - exitMargin)
+	p.core.ProbeEarly() // verify calls at silent switches while this process still knows them
+	p.serveFor(serveCtx, hup, graceDuration)
 
-	p.enter(Finishing)
+	p.enterPhase(Finishing)
 	p.core.StopAccepting()
-	if p.front != nil {
-		p.front.Drain()
+	if p.server != nil {
+		p.server.Drain()
 	}
-	stopReloads := p.reloadOn(life, hup)
-	p.finish(life, exit)
+	stopReloads := p.reloadInBackground(serveCtx, hup)
+	p.finish(serveCtx, exitTime)
 	stopReloads()
 	stop()
-	end()
+	cancel()
 	return g.Wait()
 }
 
-// longestDeadline is the longest that a call's caller waits, as the platform counts it.
-func (p *Proxy) longestDeadline() time.Duration {
+// countedDeadline returns the longest deadline of a class as the platform counts it: capped
+// at maxCountedDeadline.
+func (p *Proxy) countedDeadline() time.Duration {
 	longest := time.Duration(0)
-	set := p.settingsInForce()
-	for _, class := range set.Routing.Classes {
+	settings := p.activeSettings()
+	for _, class := range settings.Routing.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, killDeadline)
+	return min(longest, maxCountedDeadline)
 }
 
-// settingsInForce are the platform's settings, or without it the service's.
-func (p *Proxy) settingsInForce() *config.Settings {
+// activeSettings returns the platform's settings or, without a platform, the service's.
+func (p *Proxy) activeSettings() *config.Settings {
 	if p.platform != nil {
 		return &p.platform.Settings
 	}
 	return p.service.Settings
 }
 
-// reloadIfAsked reloads, and logs why it could not.
-func (p *Proxy) reloadIfAsked() {
+// reloadOrLog reloads and logs the error if that fails.
+func (p *Proxy) reloadOrLog() {
 	if err := p.Reload(); err != nil {
 		p.log.Error("configuration not reloaded", "error", err)
 	}
 }
 
-// serveFor goes on serving for some time. The configuration may change in it too.
-func (p *Proxy) serveFor(life context.Context, hup <-chan os.Signal, d time.Duration) {
-	grace := time.NewTimer(d)
-	defer grace.Stop()
+// serveFor continues to serve for the duration d. It handles reloads meanwhile.
+func (p *Proxy) serveFor(serveCtx context.Context, hup <-chan os.Signal, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	for {
 		select {
 		case <-hup:
-			p.reloadIfAsked()
-		case <-grace.C:
+			p.reloadOrLog()
+		case <-timer.C:
 			return
-		case <-life.Done():
+		case <-serveCtx.Done():
 			return
 		}
 	}
 }
 
-// reloadOn reloads on each value of hup until the function that it returns is called.
-func (p *Proxy) reloadOn(life context.Context, hup <-chan os.Signal) (stop func()) {
-	ctx, cancel := context.WithCancel(life)
+// reloadInBackground reloads for each value received from hup until stop is called.
+func (p *Proxy) reloadInBackground(serveCtx context.Context, hup <-chan os.Signal) (stop func()) {
+	ctx, cancel := context.WithCancel(serveCtx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
 			select {
 			case <-hup:
-				p.reloadIfAsked()
+				p.reloadOrLog()
 			case <-ctx.Done():
 				return
 			}
@@ -226,46 +232,46 @@
 	}
 }
 
-// finish gives the final answers, and passes on the releases that come until it is time to
-// exit. What stands then is left to the next proxy, which passes on its release; but not
-// what stands at a switch that may be gone, of which no release will come.
-func (p *Proxy) finish(life context.Context, exit time.Time) {
-	answered := exit.Add(-unprovenFor)
-	if p.platform == nil { // nobody kills it
-		answered = time.Now().Add(answerFor)
+// finish waits for the final answers and forwards releases until exitTime. Calls that are
+// still established then are left to the next proxy, which forwards their releases. Calls
+// at a switch that may be gone are ended instead, because no release will come for them.
+func (p *Proxy) finish(serveCtx context.Context, exitTime time.Time) {
+	answerDeadline := exitTime.Add(-unverifiedCallsTime)
+	if p.platform == nil { // there is no kill to anticipate
+		answerDeadline = time.Now().Add(serviceAnswerTimeout)
 	}
-	answers, cancel := context.WithDeadline(life, answered)
+	answerCtx, cancel := context.WithDeadline(serveCtx, answerDeadline)
 	defer cancel()
-	if p.core.WaitForCalls(answers, false) != nil {
+	if p.core.WaitForCalls(answerCtx, false) != nil {
 		unanswered, _ := p.core.Counts()
-		p.log.Warn("calls failed at the end", "unanswered", unanswered)
+		p.log.Warn("unanswered calls failed at exit", "unanswered", unanswered)
 		p.core.FailUnanswered()
 	}
-	releases, cancel := context.WithDeadline(life, exit.Add(-unprovenFor))
+	releaseCtx, cancel := context.WithDeadline(serveCtx, exitTime.Add(-unverifiedCallsTime))
 	defer cancel()
-	_ = p.core.WaitForCalls(releases, true) // what is left is told below
-	last, cancel := context.WithDeadline(life, exit)
+	_ = p.core.WaitForCalls(releaseCtx, true) // the remaining calls are ended or logged below
+	exitCtx, cancel := context.WithDeadline(serveCtx, exitTime)
 	defer cancel()
-	_ = p.core.WaitForCalls(last, false) // logged below
-	p.core.EndUnverifiedCalls(last)
-	if unanswered, standing := p.core.Counts(); unanswered+standing > 0 {
-		p.log.Info("calls left at the end", "unanswered", unanswered, "standing", standing)
+	_ = p.core.WaitForCalls(exitCtx, false) // logged below
+	p.core.EndUnverifiedCalls(exitCtx)
+	if unanswered, established := p.core.Counts(); unanswered+established > 0 {
+		p.log.Info("calls left at exit", "unanswered", unanswered, "standing", established)
 	}
-	if p.front != nil {
-		p.front.WaitForReleases(last)
+	if p.server != nil {
+		p.server.WaitForReleases(exitCtx)
 	}
 }
 
-// start opens what the configuration asks for. The function that it returns
-// closes it all.
-func (p *Proxy) start(life context.Context, g *errgroup.Group) (stop func(), err error) {
+// start starts the components that the configuration turns on. The returned function stops
+// them; on an error they have been stopped already.
+func (p *Proxy) start(serveCtx context.Context, g *errgroup.Group) (stop func(), err error) {
 	var closers []func()
 	stop = func() {
-		for _, f := range closers {
-			f()
+		for _, closeComponent := range closers {
+			closeComponent()
 		}
 		if p.core != nil {
-			_ = p.core.Close() // after the fronts, which still tell it of callers that left
+			_ = p.core.Close() // after the servers, which still notify it of closed connections
 		}
 	}
 	defer func() {
@@ -273,141 +279,144 @@
 			stop()
 		}
 	}()
-	set, opt := p.settings(life)
+	settings, options := p.coreOptions(serveCtx)
 	if p.service != nil && p.service.Plan != nil {
-		ps := *p.service.Plan
-		ps.OwnExchange = set.Routing.OwnExchange
-		p.planner = planner.New(ps, p.log, func(e routing.PlanUpdated, until time.Time) { p.core.ApplyPlan(e, until) })
-		opt.OnAccepted = func(s *core.SetUp) { p.planner.CountCall(s.ClassName, s.Dest) }
-		g.Go(func() error { return p.planner.Run(life) })
+		plannerSettings := *p.service.Plan
+		plannerSettings.OwnExchange = settings.Routing.OwnExchange
+		p.planner = planner.New(plannerSettings, p.log, func(update routing.PlanUpdated, until time.Time) { p.core.ApplyPlan(update, until) })
+		options.OnAccepted = func(s *core.SetUp) { p.planner.CountCall(s.ClassName, s.Dest) }
+		g.Go(func() error { return p.planner.Run(serveCtx) })
 	}
-	if p.core, err = core.New(life, opt); err != nil {
+	if p.core, err = core.New(serveCtx, options); err != nil {
 		return stop, err
 	}
-	p.gauges()
-	g.Go(func() error { return p.logMetrics(life) })
-	if pf := p.platform; pf != nil {
-		p.front.Handler = p.core
-		known, err := platform.ParseEvents(pf.KnownEvents)
+	p.registerGauges()
+	g.Go(func() error { return p.logMetrics(serveCtx) })
+	if platformConfig := p.platform; platformConfig != nil {
+		p.server.Handler = p.core
+		knownEvents, err := platform.ParseEvents(platformConfig.KnownEvents)
 		if err != nil {
 			return stop, fmt.Errorf("key known: %w", err)
 		}
-		p.channel = platform.NewCommandChannel(pf.ChannelAddr, p.core.ApplyList, p.log, p.count)
+		p.channel = platform.NewCommandChannel(platformConfig.ChannelAddr, p.core.ApplyList, p.log, p.metrics)
 		p.channel.OnPollFailure = p.core.ProbeEarly
-		p.channel.Apply(known)
-		ln, err := platform.Listen(life, pf.Listen)
+		p.channel.Apply(knownEvents)
+		ln, err := platform.Listen(serveCtx, platformConfig.Listen)
 		if err != nil {
 			return stop, fmt.Errorf("key listen: %w", err)
 		}
 		p.CallAddr = ln.Addr()
-		// The listener first: Front.Close waits for what ends with Serve. The other
-		// order hung every exit.
-		closers = append(closers, func() { ln.Close() }, p.front.Close)
-		g.Go(func() error { return p.channel.Follow(life) })
-		g.Go(func() error { return p.front.Serve(ln) })
+		// The listener is closed first: Server.Close waits for goroutines that end with
+		// Serve. The other order blocked every exit.
+		closers = append(closers, func() { ln.Close() }, p.server.Close)
+		g.Go(func() error { return p.channel.Follow(serveCtx) })
+		g.Go(func() error { return p.server.Serve(ln) })
 	}
 
-	if sv := p.service; sv != nil {
+	if serviceConfig := p.service; serviceConfig != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.AnswerRetention,
-			MaxStoredCalls: sv.MaxStoredCalls, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
+		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: serviceConfig.AnswerRetention,
+			MaxStoredCalls: serviceConfig.MaxStoredCalls, MaxStoredBytes: maxStoredBytes, Destinations: maxDestinations, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.ResourceLimits()
-			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(sv.MaxStoredCalls, b.MaxStoredCalls), min(maxKeptBytes, b.MaxStoredBytes)
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(serviceConfig.MaxStoredCalls, b.MaxStoredCalls), min(maxStoredBytes, b.MaxStoredBytes)
 		}
-		for name, i := range set.Classes {
-			p.api.Classes[name] = callapi.Class{Index: i, Width: set.Routing.Classes[i].Width}
+		for name, i := range settings.Classes {
+			p.api.Classes[name] = callapi.Class{Index: i, Width: settings.Routing.Classes[i].Width}
 		}
 		if err := p.loadInventory(); err != nil {
 			return stop, err
 		}
 		mux := http.NewServeMux()
 		mux.Handle("GET /v1/calls", p.api)
-		addr, shut, err := p.listenHTTP(life, g, "callapi.listen", sv.CallListen, sv.MaxConns, mux)
+		addr, closeServer, err := p.listenHTTP(serveCtx, g, "callapi.listen", serviceConfig.CallListen, serviceConfig.MaxConns, mux)
 		if err != nil {
 			return stop, err
 		}
 		p.APIAddr = addr
-		closers = append(closers, p.api.Close, shut)
-		if sv.AdminListen != "" {
-			a := &admin.Server{TokenHash: sv.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Switches,
-				Status: p.status, Reload: p.reloadInventory, Disconnect: p.api.Disconnect, Log: p.log, Metrics: p.count.Gatherer()}
-			addr, shut, err := p.listenHTTP(life, g, "admin.listen", sv.AdminListen, adminConns, a.Handler())
+		closers = append(closers, p.api.Close, closeServer)
+		if serviceConfig.AdminListen != "" {
+			adminServer := &admin.Server{TokenHash: serviceConfig.AdminTokenHash, Tenants: p.tenants, Switches: p.core.Switches,
+				Status: p.status, Reload: p.reloadInventory, Disconnect: p.api.Disconnect, Log: p.log, Metrics: p.metrics.Gatherer()}
+			addr, closeServer, err := p.listenHTTP(serveCtx, g, "admin.listen", serviceConfig.AdminListen, maxAdminConns, adminServer.Handler())
 			if err != nil {
 				return stop, err
 			}
 			p.AdminAddr = addr
-			closers = append(closers, shut)
+			closers = append(closers, closeServer)
 		}
 	}
 	return stop, nil
 }
 
-// settings gathers what the core is made of.
-func (p *Proxy) settings(life context.Context) (*config.Settings, core.Options) {
-	opt := core.Options{Log: p.log, Observer: observer{p.count}}
-	var set *config.Settings
-	if pf := p.platform; pf != nil {
-		set, opt.Seed = &pf.Settings, pf.Seed
-		bounds := pf.ResourceLimits()
-		p.front = platform.NewServer(form(set), bounds.MaxCallerConns, bounds.MaxOpenSetUps, p.log, p.count)
-		opt.OnUnknownRelease, opt.MaxCalls = p.front.ForwardUnknownRelease, bounds.MaxCalls
+// coreOptions returns the active settings and the options of the core, and creates the
+// platform server.
+func (p *Proxy) coreOptions(serveCtx context.Context) (*config.Settings, core.Options) {
+	options := core.Options{Log: p.log, Observer: observer{p.metrics}}
+	var settings *config.Settings
+	if platformConfig := p.platform; platformConfig != nil {
+		settings, options.Seed = &platformConfig.Settings, platformConfig.Seed
+		limits := platformConfig.ResourceLimits()
+		p.server = platform.NewServer(setUpRules(settings), limits.MaxCallerConns, limits.MaxOpenSetUps, p.log, p.metrics)
+		options.OnUnknownRelease, options.MaxCalls = p.server.ForwardUnknownRelease, limits.MaxCalls
 	} else {
-		set, opt.Seed = p.service.Settings, uint64(time.Now().UnixNano())
-		opt.MaxCalls = min(set.MaxCalls, maxCalls)
+		settings, options.Seed = p.service.Settings, uint64(time.Now().UnixNano())
+		options.MaxCalls = min(settings.MaxCalls, maxCalls)
 	}
-	opt.Settings = set.Routing
-	times := trunk.Timeouts{Dial: set.DialTimeout, Silence: set.SilenceTimeout(), ReleaseBackoff: set.Routing.ReleaseDelay}
-	opt.OpenLink = func(m core.Switch, peer *core.SwitchHandler) (core.Link, error) {
+	options.Settings = settings.Routing
+	timeouts := trunk.Timeouts{Dial: settings.DialTimeout, Silence: settings.SilenceTimeout(), ReleaseBackoff: settings.Routing.ReleaseDelay}
+	options.OpenLink = func(sw core.Switch, handler *core.SwitchHandler) (core.Link, error) {
 		dial := trunk.Dial(platform.Dial)
-		if inventory.IsURL(m.Addr) {
+		if inventory.IsURL(sw.Addr) {
 			dial = callapi.Dial
-		} else if _, _, err := net.SplitHostPort(m.Addr); err != nil {
+		} else if _, _, err := net.SplitHostPort(sw.Addr); err != nil {
 			return nil, err
 		}
-		return trunk.New(life, m, peer, times, p.log, p.count, dial), nil
+		return trunk.New(serveCtx, sw, handler, timeouts, p.log, p.metrics, dial), nil
 	}
-	return set, opt
+	return settings, options
 }
 
-// dests is how many destinations there are by the settings.
-func dests(set *config.Settings) int {
-	if set.Routing.PoolMode {
-		return maxPools
+// destinationCount returns the number of destinations in the settings.
+func destinationCount(settings *config.Settings) int {
+	if settings.Routing.PoolMode {
+		return maxDestinations
 	}
-	return set.Routing.FleetSize
+	return settings.Routing.FleetSize
 }
 
-// form is what set-ups on the platform must look like by the settings.
-func form(set *config.Settings) platform.SetUpRules {
-	f := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: set.Tenants, DestCount: dests(set)}
-	for name, i := range set.Classes {
-		k := platform.Class{Index: i, MaxWait: set.Routing.Classes[i].Deadline}
-		if set.HasWidths {
-			k.Width = set.Routing.Classes[i].Width
+// setUpRules returns the rules for the platform's set-ups from the settings.
+func setUpRules(settings *config.Settings) platform.SetUpRules {
+	rules := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: settings.Tenants, DestCount: destinationCount(settings)}
+	for name, i := range settings.Classes {
+		class := platform.Class{Index: i, MaxWait: settings.Routing.Classes[i].Deadline}
+		if settings.HasWidths {
+			class.Width = settings.Routing.Classes[i].Width
 		}
-		f.Classes[name] = k
+		rules.Classes[name] = class
 	}
-	return f
+	return rules
 }
 
-// listenHTTP serves a handler on an address, with TLS if there is a certificate.
-func (p *Proxy) listenHTTP(life context.Context, g *errgroup.Group, key, addr string, conns int, h http.Handler) (net.Addr, func(), error) {
-	ln, err := platform.Listen(life, addr)
+// listenHTTP serves a handler on an address, with TLS if there is a certificate and with at
+// most maxConns connections. It returns the listening address and a function that closes
+// the server. key names the address's setting in errors.
+func (p *Proxy) listenHTTP(serveCtx context.Context, g *errgroup.Group, key, addr string, maxConns int, h http.Handler) (net.Addr, func(), error) {
+	ln, err := platform.Listen(serveCtx, addr)
 	if err != nil {
 		return nil, nil, fmt.Errorf("key %s: %w", key, err)
 	}
-	served := netutil.LimitListener(ln, conns)
+	limited := netutil.LimitListener(ln, maxConns)
 	if p.cert.Load() != nil {
-		// Asked for at each handshake: a reload may have brought a new one.
-		served = tls.NewListener(served, &tls.Config{MinVersion: tls.VersionTLS12,
+		// Loaded at each handshake, because a reload may replace it.
+		limited = tls.NewListener(limited, &tls.Config{MinVersion: tls.VersionTLS12,
 			GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.cert.Load(), nil }})
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(p.log.Handler(), slog.LevelWarn)}
 	g.Go(func() error {
-		if err := srv.Serve(served); !errors.Is(err, http.ErrServerClosed) {
+		if err := srv.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 			return fmt.Errorf("key %s: %w", key, err)
 		}
 		return nil
@@ -415,19 +424,19 @@
 	return ln.Addr(), func() { srv.Close() }, nil
 }
 
-// Reload reads the platform's configuration, the inventory and the certificate
-// anew: all of it counts, or with an error nothing.
+// Reload reads the platform's configuration, the inventory and the certificate again. If
+// any of them has an error, none is applied.
 func (p *Proxy) Reload() error {
-	p.reload.Lock()
-	defer p.reload.Unlock()
-	var pf *config.Platform
-	var known *platform.Events
+	p.reloadMutex.Lock()
+	defer p.reloadMutex.Unlock()
+	var platformConfig *config.Platform
+	var knownEvents *platform.Events
 	var err error
 	if p.channel != nil && p.ReadConfig != nil {
-		if pf, err = p.ReadConfig(); err != nil {
+		if platformConfig, err = p.ReadConfig(); err != nil {
 			return err
 		}
-		if known, err = platform.ParseEvents(pf.KnownEvents); err != nil {
+		if knownEvents, err = platform.ParseEvents(platformConfig.KnownEvents); err != nil {
 			return fmt.Errorf("key known: %w", err)
 		}
 	}
@@ -436,25 +445,25 @@
 			return err
 		}
 	}
-	if pf != nil {
-		p.channel.Move(pf.ChannelAddr, known)
-		p.log.Info("configuration reloaded", "channel", pf.ChannelAddr)
-		if key := p.platform.RestartRequiredKey(pf); key != "" {
-			p.log.Warn("a changed key counts from the next start on", "key", key)
+	if platformConfig != nil {
+		p.channel.Move(platformConfig.ChannelAddr, knownEvents)
+		p.log.Info("configuration reloaded", "channel", platformConfig.ChannelAddr)
+		if key := p.platform.RestartRequiredKey(platformConfig); key != "" {
+			p.log.Warn("changed key takes effect only after a restart", "key", key)
 		}
 	}
 	return nil
 }
 
-// reloadInventory does so for the inventory and the certificate alone.
+// reloadInventory is like Reload for the inventory and the certificate only.
 func (p *Proxy) reloadInventory() error {
-	p.reload.Lock()
-	defer p.reload.Unlock()
+	p.reloadMutex.Lock()
+	defer p.reloadMutex.Unlock()
 	return p.loadInventory()
 }
 
-// loadInventory takes in the inventory and the certificate, or with an error
-// neither.
+// loadInventory reads and applies the inventory and the certificate. If either has an
+// error, neither is applied.
 func (p *Proxy) loadInventory() error {
 	inv, err := inventory.Load(p.service.Inventory)
 	if err != nil {
@@ -470,14 +479,14 @@
 	p.cert.Store(cert)
 	p.core.ApplyList(core.SwitchList{Source: "inventory", Full: true, Switches: inv.Switches, Graceful: true})
 	if p.planner != nil {
-		ids := map[int]string{}
-		for _, m := range inv.Switches {
-			if _, twice := ids[m.Exchange]; !twice || m.State == routing.Ready {
-				ids[m.Exchange] = m.ID
+		switchIDs := map[int]string{}
+		for _, sw := range inv.Switches {
+			if _, duplicate := switchIDs[sw.Exchange]; !duplicate || sw.State == routing.Ready {
+				switchIDs[sw.Exchange] = sw.ID
 			}
 		}
-		if err := p.planner.SetInventory(&inv.Plan, ids); err != nil {
-			p.log.Error("plan not taken", "file", p.service.Plan.File, "error", err)
+		if err := p.planner.SetInventory(&inv.Plan, switchIDs); err != nil {
+			p.log.Error("plan rejected", "file", p.service.Plan.File, "error", err)
 		}
 	}
 	p.log.Info("inventory loaded", "switches", len(inv.Switches), "tenants", len(inv.Tenants))
@@ -485,6 +494,6 @@
 }
 
 func (p *Proxy) status() admin.Status {
-	unanswered, standing := p.core.Counts()
-	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Established: standing}
+	unanswered, established := p.core.Counts()
+	return admin.Status{Phase: p.Phase().String(), Unanswered: unanswered, Established: established}
 }
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -17,18 +17,18 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// playDay plays a day of the lab against real proxies, one an exchange, and stand-ins,
-// all on loopback, and returns the share of the worth that stood in time.
+// playDay plays a day of the lab against real proxies, one per exchange, and stand-ins, all
+// on loopback. It returns the share of the worth that was established in time.
 func playDay(t *testing.T, cfg mesh.Config, events []routing.PlanUpdated) float64 {
 	t.Helper()
 	n := cfg.Exchanges
-	world := standin.NewMesh(cfg)
-	defer world.Close()
+	testbed := standin.NewMesh(cfg)
+	defer testbed.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, n)
 	for x := range n {
-		addrs, err := world.OpenSwitches(x)
+		addrs, err := testbed.OpenSwitches(x)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,12 +41,12 @@
 			"extra":{"here":%d,"topology":"meshed","releaseMs":500,"resendMs":800,"widths":[1,4],"classHoldMs":[%d,%d]},
 			"limits":{"mostTries":5,"cancel":true,"dialTimeoutMs":500},"rules":{"answerSlackMs":20,"coldShare":0.29,"rampTimeMs":15000,"fallMultiple":4,"overloadForMs":2000},
 			"realms":[{"name":"main-lot"}]}`, n, x, cfg.Classes[0].Hold.Milliseconds(), cfg.Classes[1].Hold.Milliseconds())
-		pf, err := config.Parse(fmt.Appendf(nil, `{"name":"n%d","listen":"127.0.0.1:0","seed":"%x","channel":"127.0.0.1:9","limits":{"sockets":1024},
+		platformConfig, err := config.Parse(fmt.Appendf(nil, `{"name":"n%d","listen":"127.0.0.1:0","seed":"%x","channel":"127.0.0.1:9","limits":{"sockets":1024},
 			"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"complete":true,"members":[%s]}}]},"settings":%s}`, x, cfg.Seed*100+uint64(x), strings.Join(members, ","), settings))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := New(pf, nil, slog.New(slog.DiscardHandler))
+		p, err := New(platformConfig, nil, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,25 +54,25 @@
 		go func() { done <- p.Run(ctx, nil, func() { close(ready) }) }()
 		select {
 		case <-ready:
-		case <-time.After(patience):
-			t.Fatal("a proxy did not start")
+		case <-time.After(testTimeout):
+			t.Fatal("proxy not ready before the timeout")
 		}
 		if events != nil {
 			p.core.ApplyPlan(events[x], time.Now().Add(time.Hour))
 		}
-		if err := world.ConnectCallers(x, p.CallAddr.String()); err != nil {
+		if err := testbed.ConnectCallers(x, p.CallAddr.String()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	world.Run()
-	// What is still out is answered within its time; what stands is hung up by its end.
-	for deadline := time.Now().Add(patience + 10*cfg.Classes[1].Hold); ; time.Sleep(20 * time.Millisecond) {
-		calls, legs := world.Unfinished()
+	testbed.Run()
+	// Pending calls are answered by their deadline; established ones end with their hold time.
+	for deadline := time.Now().Add(testTimeout + 10*cfg.Classes[1].Hold); ; time.Sleep(20 * time.Millisecond) {
+		calls, legs := testbed.Unfinished()
 		if calls+legs == 0 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Errorf("%d calls and %d legs are never over", calls, legs)
+			t.Errorf("%d calls and %d legs have not ended", calls, legs)
 			break
 		}
 	}
@@ -82,7 +82,7 @@
 			t.Error(err)
 		}
 	}
-	offered, inTime, counts, faults := world.Result()
+	offered, inTime, counts, faults := testbed.Result()
 	for _, f := range faults {
 		t.Error(f)
 	}
@@ -90,32 +90,32 @@
 	return inTime / offered
 }
 
-// quick shortens a day: calls come and go so many times as fast, which leaves the
-// circuits that they keep busy as they were.
-func quick(c mesh.Config, times float64, length time.Duration) mesh.Config {
+// accelerate shortens a day to the given length and multiplies the call rates and divides
+// the hold times by factor, which leaves the number of busy circuits unchanged.
+func accelerate(c mesh.Config, factor float64, length time.Duration) mesh.Config {
 	c.Length = length
 	for i := range c.Classes {
-		c.Classes[i].Hold = time.Duration(float64(c.Classes[i].Hold) / times)
+		c.Classes[i].Hold = time.Duration(float64(c.Classes[i].Hold) / factor)
 	}
 	for i := range c.Flows {
-		c.Flows[i].Rate *= times
+		c.Flows[i].Rate *= factor
 	}
 	return c
 }
 
-// One day at 110% of plan, with weights, in its short form: six seconds, calls eight
-// times as fast. Set VIOLETSPAN_REPLAY to a number of seeds for the long form: each
-// seed's day of 50 s as it is, with weights and without.
+// Plays one day at 110% of the planned load with weights, shortened to 6 s with calls eight
+// times as fast. If VIOLETSPAN_REPLAY is a number of seeds, it plays a full day of 50 s for
+// each seed instead, with weights and without.
 func TestReplay(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("VIOLETSPAN_REPLAY"))
 	if seeds == 0 {
-		cfg := quick(lab.Draw(4, 1.1, time.Second, 7), 8, 6*time.Second)
+		cfg := accelerate(lab.Draw(4, 1.1, time.Second, 7), 8, 6*time.Second)
 		events, _, err := lab.Planned(&cfg, 0.2, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := playDay(t, cfg, events); got < 0.5 || got > 1 {
-			t.Errorf("%v of the worth stood in time", got)
+			t.Errorf("share of the worth established in time: got %v, want 0.5 to 1", got)
 		}
 		return
 	}
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -28,49 +28,49 @@
 	"violetspan.example/violetspan/internal/tenant"
 )
 
-// patience bounds each wait of a test; only a failing test ever sees its end.
-const patience = 20 * time.Second
+// testTimeout limits each wait of a test. Only failing tests reach it.
+const testTimeout = 20 * time.Second
 
-// A script is a recorded exchange in testdata/. Its lines are played in order
-// against a whole proxy on loopback:
+// A script replays a recorded exchange of messages in testdata/. Its lines run in order
+// against a complete proxy on loopback:
 //
-//	c1> BYTES   a caller's connection sends bytes     s1> BYTES   so does a switch
-//	c1< BYTES   ... reads a message of just these     s1< BYTES   so does a switch
-//	w1> JSON    a client of the call API sends        x1> JSON    so does a switch of the API
-//	w1< JSON    ... reads just this                   x1< JSON    so does a switch of the API
-//	NAME close  ends a connection                     NAME refuse a switch stops listening too
-//	NAME eof    the proxy has closed it               list JSON   an event of the command channel
-//	sync DEST   waits until the proxy knows of it     term        SIGTERM
-//	hup         SIGHUP, with the channel elsewhere    hup bad     ... and a key that is wrong
+//	c1> BYTES   a caller's connection sends bytes     s1> BYTES   the same for a switch
+//	c1< BYTES   ... receives exactly this message     s1< BYTES   the same for a switch
+//	w1> JSON    a client of the call API sends        x1> JSON    the same for a switch of the API
+//	w1< JSON    ... receives exactly this             x1< JSON    the same for a switch of the API
+//	NAME close  closes a connection                   NAME refuse a switch stops listening too
+//	NAME eof    the proxy closed the connection       list JSON   an event of the command channel
+//	sync STATE  waits until the proxy has the state   term        SIGTERM
+//	hup         SIGHUP with a new channel address     hup bad     ... with an invalid key
 //
-// Bytes are hexadecimal digits and "texts"; * stands for the length and value
-// of one parameter, {NAME} for a value remembered by its first use. Connections
-// c1, w1 are opened by their first line; a switch takes the newest connection.
+// Bytes are hexadecimal digits and "texts". * matches the length and value of one
+// parameter; {NAME} is a variable that is set by its first use. The connections c1 and w1
+// open at their first line; a switch uses the newest connection.
 type script struct {
-	t        *testing.T
-	p        *Proxy
-	term     context.CancelFunc
-	done     chan error
-	events   chan string
-	cursor   int
-	config   func() []byte          // the configuration, with a new channel
-	file     atomic.Pointer[[]byte] // ... as SIGHUP finds it
-	hup      chan os.Signal
-	callers  map[string]net.Conn
-	switches map[string]*standIn
-	clients  map[string]*websocket.Conn
-	vars     map[string]string
+	t          *testing.T
+	p          *Proxy
+	term       context.CancelFunc
+	done       chan error
+	events     chan string
+	cursor     int
+	newConfig  func() []byte          // returns the configuration, with a new command channel
+	configFile atomic.Pointer[[]byte] // the configuration that SIGHUP loads
+	hup        chan os.Signal
+	callers    map[string]net.Conn
+	switches   map[string]*standIn
+	clients    map[string]*websocket.Conn
+	variables  map[string]string
 }
 
-// standIn is a switch: it takes connections and hands them to the script.
+// standIn is a switch that accepts connections and passes them to the script.
 type standIn struct {
-	name  string
-	ln    net.Listener
-	conns chan net.Conn
-	cur   net.Conn
-	in    *bufio.Reader
-	ws    chan *websocket.Conn
-	curWS *websocket.Conn
+	name          string
+	ln            net.Listener
+	conns         chan net.Conn
+	current       net.Conn
+	in            *bufio.Reader
+	sockets       chan *websocket.Conn
+	currentSocket *websocket.Conn
 }
 
 func newStandIn(t *testing.T, name string) *standIn {
@@ -78,12 +78,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{name: name, ln: ln, conns: make(chan net.Conn, 64), ws: make(chan *websocket.Conn, 64)}
+	s := &standIn{name: name, ln: ln, conns: make(chan net.Conn, 64), sockets: make(chan *websocket.Conn, 64)}
 	if name[0] == 'x' {
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			c, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{callapi.Protocol}})
 			if err == nil {
-				s.ws <- c
+				s.sockets <- c
 				<-r.Context().Done()
 			}
 		})}
@@ -113,16 +113,16 @@
 // testToken is the bearer token of the tenant acme in these tests.
 const testToken = "a-token-for-tests-only"
 
-// start starts a proxy with stand-ins: s1 to s3 for exchanges 1 to 3, the last
-// ones as x instead where a script speaks of it.
+// start starts a proxy with the stand-ins that the text mentions: s1 to s3, or x1 to x3 for
+// the call API, at exchanges 1 to 3.
 func start(t *testing.T, text, settings string) *script {
 	return startWith(t, text, settings, func(*config.Service) {})
 }
 
-// startWith starts it with changes to the service's configuration.
+// startWith is like start, with changes to the service's configuration.
 func startWith(t *testing.T, text, settings string, change func(*config.Service)) *script {
 	s := &script{t: t, callers: map[string]net.Conn{}, switches: map[string]*standIn{},
-		clients: map[string]*websocket.Conn{}, vars: map[string]string{}}
+		clients: map[string]*websocket.Conn{}, variables: map[string]string{}}
 	var members, hosts []string
 	for n := 1; n <= 3; n++ {
 		name := fmt.Sprintf("s%d", n)
@@ -141,14 +141,14 @@
 		members = append(members, s.member(name, n, "up"))
 	}
 	s.cursor = 1
-	s.config = func() []byte {
+	s.newConfig = func() []byte {
 		return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1","channel":%q,"limits":{"sockets":1024},
 		"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"complete":true,"members":[%s]}}]},"settings":%s}`,
 			s.newChannel(), strings.Join(members, ","), settings)
 	}
-	first := s.config()
-	s.file.Store(&first)
-	pf, err := config.Parse(first)
+	first := s.newConfig()
+	s.configFile.Store(&first)
+	platformConfig, err := config.Parse(first)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,15 +159,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sv := &config.Service{CallListen: "127.0.0.1:0", AnswerRetention: time.Minute, MaxStoredCalls: 1000, MaxConns: 50, Inventory: inv,
+	serviceConfig := &config.Service{CallListen: "127.0.0.1:0", AnswerRetention: time.Minute, MaxStoredCalls: 1000, MaxConns: 50, Inventory: inv,
 		AdminListen: "127.0.0.1:0", AdminTokenHash: tenant.HashToken(testToken)}
-	change(sv)
-	s.run(pf, sv)
+	change(serviceConfig)
+	s.run(platformConfig, serviceConfig)
 	return s
 }
 
-// newChannel opens a command channel and returns its address; list lines are
-// told there from then on. Its numbers go on where the last one's ended.
+// newChannel opens a command channel and returns its address. From then on, list lines are
+// sent there. Its cursors continue those of the previous channel.
 func (s *script) newChannel() net.Addr {
 	events, quit := make(chan string, 16), make(chan struct{})
 	s.events = events
@@ -185,13 +185,13 @@
 	return srv.Listener.Addr()
 }
 
-func (s *script) run(pf *config.Platform, sv *config.Service) {
+func (s *script) run(platformConfig *config.Platform, serviceConfig *config.Service) {
 	var err error
-	if s.p, err = New(pf, sv, slog.New(slog.DiscardHandler)); err != nil {
+	if s.p, err = New(platformConfig, serviceConfig, slog.New(slog.DiscardHandler)); err != nil {
 		s.t.Fatal(err)
 	}
 	s.hup = make(chan os.Signal)
-	s.p.ReadConfig = func() (*config.Platform, error) { return config.Parse(*s.file.Load()) }
+	s.p.ReadConfig = func() (*config.Platform, error) { return config.Parse(*s.configFile.Load()) }
 	ctx, term := context.WithCancel(context.Background())
 	s.term, s.done = term, make(chan error, 1)
 	ready := make(chan struct{})
@@ -207,10 +207,10 @@
 			c.Close()
 		}
 		if s.p.Phase() != Stopped {
-			s.p.core.Close() // nobody waits for what the script left standing
+			s.p.core.Close() // don't wait for calls that the script left established
 		}
 		if err := <-s.done; err != nil {
-			s.t.Errorf("the proxy ended with %v", err)
+			s.t.Errorf("the proxy exited with error %v", err)
 		}
 	})
 }
@@ -226,43 +226,43 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		s.callers[name] = c
 	}
 	return s.callers[name]
 }
 
-// stream returns the connection that a binary line speaks of.
+// stream returns the connection of a binary line.
 func (s *script) stream(name string) (net.Conn, io.Reader) {
 	sw := s.switches[name]
 	if sw == nil {
 		c := s.caller(name)
 		return c, c
 	}
-	if sw.cur == nil {
+	if sw.current == nil {
 		select {
-		case sw.cur = <-sw.conns:
-		case <-time.After(patience):
+		case sw.current = <-sw.conns:
+		case <-time.After(testTimeout):
 			s.t.Fatalf("%s: no connection", name)
 		}
-		sw.cur.SetDeadline(time.Now().Add(patience))
-		sw.in = bufio.NewReader(sw.cur)
+		sw.current.SetDeadline(time.Now().Add(testTimeout))
+		sw.in = bufio.NewReader(sw.current)
 	}
-	return sw.cur, sw.in
+	return sw.current, sw.in
 }
 
-// socket returns the WebSocket that a JSON line speaks of. Clients w... are of
-// the tenant acme, v... of another.
+// socket returns the WebSocket of a JSON line. Clients w... belong to the tenant acme,
+// clients v... to the tenant other.
 func (s *script) socket(ctx context.Context, name string) *websocket.Conn {
 	if sw := s.switches[name]; sw != nil {
-		if sw.curWS == nil {
+		if sw.currentSocket == nil {
 			select {
-			case sw.curWS = <-sw.ws:
+			case sw.currentSocket = <-sw.sockets:
 			case <-ctx.Done():
 				s.t.Fatalf("%s: no connection", name)
 			}
 		}
-		return sw.curWS
+		return sw.currentSocket
 	}
 	if s.clients[name] == nil {
 		token := testToken
@@ -283,16 +283,16 @@
 		Subprotocols: []string{callapi.Protocol}, HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
 }
 
-var token = regexp.MustCompile(`"([^"]*)"|\*|[0-9a-f]+`)
+var patternToken = regexp.MustCompile(`"([^"]*)"|\*|[0-9a-f]+`)
 
-// pattern turns the bytes of a line into a message; skip tells of each place
-// at which a parameter may hold anything.
-func pattern(t *testing.T, line string) (b []byte, skip map[int]bool) {
-	skip = map[int]bool{}
-	for _, m := range token.FindAllStringSubmatch(line, -1) {
+// parsePattern converts the bytes of a line to a message. wildcards contains the offset of
+// each *, where any length and value match.
+func parsePattern(t *testing.T, line string) (b []byte, wildcards map[int]bool) {
+	wildcards = map[int]bool{}
+	for _, m := range patternToken.FindAllStringSubmatch(line, -1) {
 		switch {
 		case m[0] == "*":
-			skip[len(b)] = true
+			wildcards[len(b)] = true
 		case m[0][0] == '"':
 			b = append(b, m[1]...)
 		default:
@@ -303,11 +303,11 @@
 			b = append(b, h...)
 		}
 	}
-	return b, skip
+	return b, wildcards
 }
 
-// mask reads one message and takes out what the pattern leaves open.
-func mask(r io.Reader, skip map[int]bool) ([]byte, error) {
+// readMasked reads one message and removes the length and value of each wildcard parameter.
+func readMasked(r io.Reader, wildcards map[int]bool) ([]byte, error) {
 	head := make([]byte, 2)
 	if _, err := io.ReadFull(r, head); err != nil {
 		return nil, err
@@ -316,13 +316,13 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	if len(skip) == 0 {
+	if len(wildcards) == 0 {
 		return append(head, body...), nil
 	}
-	out := append([]byte{}, body[:9]...) // its length goes by what is left open
+	out := append([]byte{}, body[:9]...) // without the message length, which depends on the wildcards
 	for rest := body[9:]; len(rest) >= 3; {
 		n := 3 + int(rest[1])<<8 + int(rest[2])
-		if skip[len(out)+1] {
+		if wildcards[len(out)+1] {
 			out = append(out, rest[0])
 		} else {
 			out = append(out, rest[:n]...)
@@ -333,18 +333,18 @@
 }
 
 func (s *script) play(text string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		if line = strings.TrimSpace(line); line != "" {
 			s.t.Logf("line %d: %s", i+1, line)
-			s.line(ctx, line)
+			s.runLine(ctx, line)
 		}
 	}
 }
 
-func (s *script) line(ctx context.Context, line string) {
+func (s *script) runLine(ctx context.Context, line string) {
 	t := s.t
 	t.Helper()
 	name, rest, _ := strings.Cut(line, " ")
@@ -364,12 +364,12 @@
 	case name == "term":
 		s.term()
 	case name == "hup":
-		told := s.events
-		file := s.config()
+		previous := s.events
+		file := s.newConfig()
 		if rest == "bad" {
-			file, s.events = bytes.Replace(file, []byte(`"seed":"1"`), []byte(`"seed":"green"`), 1), told
+			file, s.events = bytes.Replace(file, []byte(`"seed":"1"`), []byte(`"seed":"green"`), 1), previous
 		}
-		s.file.Store(&file)
+		s.configFile.Store(&file)
 		s.hup <- syscall.SIGHUP
 	case rest == "close":
 		s.close(who, json)
@@ -379,7 +379,7 @@
 	case rest == "eof":
 		_, r := s.stream(who)
 		if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
-			t.Fatalf("want the end of the connection, got %x, %v", b, err)
+			t.Fatalf("want the end of the connection, got %x, error %v", b, err)
 		}
 	case json && dir == '>':
 		if err := s.socket(ctx, who).Write(ctx, websocket.MessageText, []byte(s.expand(rest))); err != nil {
@@ -391,20 +391,20 @@
 			t.Fatalf("want %s, got %v", rest, err)
 		}
 		got := regexp.MustCompile(`"(wait_ms|retry_after_ms)":\d+`).ReplaceAllString(string(b), `"$1":0`)
-		s.learn(rest, got)
+		s.setVariable(rest, got)
 		if diff := cmp.Diff(s.expand(rest), got); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 	case dir == '>':
 		c, _ := s.stream(who)
-		b, _ := pattern(t, rest)
+		b, _ := parsePattern(t, rest)
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
 		}
 	case dir == '<':
 		_, r := s.stream(who)
-		want, skip := pattern(t, rest)
-		got, err := mask(r, skip)
+		want, wildcards := parsePattern(t, rest)
+		got, err := readMasked(r, wildcards)
 		if err != nil {
 			t.Fatalf("want %q, got %v", want, err)
 		}
@@ -412,64 +412,66 @@
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 	default:
-		t.Fatalf("line %q can't be read", line)
+		t.Fatalf("invalid line %q", line)
 	}
 }
 
-// learn remembers the call's id where a line has {id} for it, and expand fills it in.
-func (s *script) learn(want, got string) {
-	if m := regexp.MustCompile(`"call":"\{(\w+)\}"`).FindStringSubmatch(want); m != nil && s.vars[m[1]] == "" {
+// setVariable stores the call id of a received message if the expected line has a variable
+// in its place.
+func (s *script) setVariable(want, got string) {
+	if m := regexp.MustCompile(`"call":"\{(\w+)\}"`).FindStringSubmatch(want); m != nil && s.variables[m[1]] == "" {
 		if id := regexp.MustCompile(`"call":"([0-9a-f]{16})"`).FindStringSubmatch(got); id != nil {
-			s.vars[m[1]] = id[1]
+			s.variables[m[1]] = id[1]
 		}
 	}
 }
 
+// expand replaces the variables in a line with their values.
 func (s *script) expand(line string) string {
-	return regexp.MustCompile(`\{(\w+)\}`).ReplaceAllStringFunc(line, func(m string) string { return s.vars[m[1:len(m)-1]] })
+	return regexp.MustCompile(`\{(\w+)\}`).ReplaceAllStringFunc(line, func(m string) string { return s.variables[m[1:len(m)-1]] })
 }
 
 func (s *script) close(who string, json bool) {
 	switch sw := s.switches[who]; {
 	case json && sw != nil:
-		sw.curWS.CloseNow()
-		sw.curWS = nil
+		sw.currentSocket.CloseNow()
+		sw.currentSocket = nil
 	case json:
 		s.clients[who].CloseNow()
 		delete(s.clients, who)
 	case sw != nil:
-		sw.cur.Close()
-		sw.cur = nil
+		sw.current.Close()
+		sw.current = nil
 	default:
 		s.callers[who].Close()
 		delete(s.callers, who)
 	}
 }
 
-// sync waits until the proxy is as told: "gone ID", "draining ID", "calls OWED
-// STANDING", "sockets N" of the tenant acme, "conns N" from callers.
-func (s *script) sync(ctx context.Context, what string) {
+// sync waits until the proxy has a state: "up ID", "draining ID" or "gone ID" of a switch,
+// "calls UNANSWERED ESTABLISHED", "sockets N" of the tenant acme, or "conns N" from callers.
+func (s *script) sync(ctx context.Context, want string) {
 	for {
-		unanswered, standing := s.p.core.Counts()
-		now := []string{fmt.Sprintf("calls %d %d", unanswered, standing)}
+		unanswered, established := s.p.core.Counts()
+		states := []string{fmt.Sprintf("calls %d %d", unanswered, established)}
 		acme, _ := s.p.tenants.Get("acme")
-		now = append(now, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.front.ConnCount()))
-		states := map[string]string{}
+		states = append(states, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.server.ConnCount()))
+		switchStates := map[string]string{}
 		for _, m := range s.p.core.Switches() {
-			states[m.ID] = [...]string{"up", "draining", "gone"}[m.State]
-			now = append(now, states[m.ID]+" "+m.ID)
+			switchStates[m.ID] = [...]string{"up", "draining", "gone"}[m.State]
+			states = append(states, switchStates[m.ID]+" "+m.ID)
 		}
-		if id, ok := strings.CutPrefix(what, "gone "); ok && states[id] == "" {
+		if id, ok := strings.CutPrefix(want, "gone "); ok && switchStates[id] == "" {
 			return
 		}
-		for _, n := range now {
-			if n == what {
+		for _, n := range states {
+			if n == want {
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("waited for %q, is %q", what, now)
+			s.t.Fatalf("waited for state %q, got %q", want, states)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -478,7 +480,7 @@
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scripts found: %v", err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
--- a/internal/proxy/service_test.go
+++ b/internal/proxy/service_test.go
@@ -26,7 +26,7 @@
 	"violetspan.example/violetspan/internal/planner"
 )
 
-// do asks the administration API and returns status and body.
+// do sends a request to the administration API and returns the status and the body.
 func (s *script) do(method, path, token, body string) (int, string) {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.p.AdminAddr.String()+path, strings.NewReader(body))
@@ -54,7 +54,7 @@
 	for _, c := range []struct {
 		method, path, token, body string
 		status                    int
-		want                      string // the reply, or how it begins
+		want                      string // prefix of the body
 	}{
 		{"GET", "/v1/tenants/acme", "wrong", "", 401, `{"error":{"code":"unauthorized"`},
 		{"GET", "/healthz", "", "", 200, "serving"},
@@ -78,21 +78,21 @@
 			t.Errorf("%s %s %s: got %d %s, want %d %s", c.method, c.path, c.body, status, got, c.status, c.want)
 		}
 		if strings.Contains(got, "sha256") {
-			t.Errorf("%s %s shows a token's hash: %s", c.method, c.path, got)
+			t.Errorf("%s %s reveals a token's hash: %s", c.method, c.path, got)
 		}
 	}
 }
 
-// A reload is all or nothing: a bad file leaves the switches and tenants alone.
+// A reload is all or nothing: an invalid file must not change the switches and tenants.
 func TestBadReloadChangesNothing(t *testing.T) {
 	t.Parallel()
 	s := start(t, "\nx1", settingsJSON)
-	good, err := os.ReadFile(s.p.service.Inventory)
+	valid, err := os.ReadFile(s.p.service.Inventory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := strings.Replace(string(good), "acme:", "acme2:", 1) + "        third: {max_calls: many}\n"
-	if err := os.WriteFile(s.p.service.Inventory, []byte(bad), 0o600); err != nil {
+	invalid := strings.Replace(string(valid), "acme:", "acme2:", 1) + "        third: {max_calls: many}\n"
+	if err := os.WriteFile(s.p.service.Inventory, []byte(invalid), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	status, got := s.do("POST", "/v1/inventory/reload", testToken, "")
@@ -100,10 +100,10 @@
 		t.Errorf("got %d %s", status, got)
 	}
 	if _, got := s.do("GET", "/v1/tenants/acme", testToken, ""); got != acme {
-		t.Errorf("acme is %s now", got)
+		t.Errorf("acme changed to %s", got)
 	}
-	// Without its switch it is good, and nothing new goes there.
-	if err := os.WriteFile(s.p.service.Inventory, []byte(strings.Replace(string(good), "        x1:", "        # x1:", 1)), 0o600); err != nil {
+	// The file without the switch is valid; new calls are no longer sent to the switch.
+	if err := os.WriteFile(s.p.service.Inventory, []byte(strings.Replace(string(valid), "        x1:", "        # x1:", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if status, got := s.do("POST", "/v1/inventory/reload", testToken, ""); status != 204 {
@@ -114,7 +114,7 @@
 		w1< {"type":"refused","call":"a","reason":"no_route","retry_after_ms":0}`)
 }
 
-// A disabled tenant's new calls are refused, its standing ones are kept.
+// A disabled tenant's new calls are refused; its established calls continue.
 func TestDisabledTenant(t *testing.T) {
 	t.Parallel()
 	s := start(t, "\nx1", settingsJSON)
@@ -139,10 +139,10 @@
 func TestWrongTokenAndProtocol(t *testing.T) {
 	t.Parallel()
 	s := start(t, "\ns1", settingsJSON)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if _, resp, err := dialAPI(ctx, s.p, "wrong"); err == nil || resp == nil || resp.StatusCode != http.StatusUnauthorized {
-		t.Errorf("a wrong token: %v", err)
+		t.Errorf("wrong token: %v", err)
 	}
 	c, _, err := websocket.Dial(ctx, "ws://"+s.p.APIAddr.String()+"/v1/calls",
 		&websocket.DialOptions{HTTPHeader: http.Header{"Authorization": {"Bearer " + testToken}}})
@@ -150,16 +150,16 @@
 		t.Fatal(err)
 	}
 	if _, _, err := c.Read(ctx); websocket.CloseStatus(err) != websocket.StatusPolicyViolation {
-		t.Errorf("no subprotocol: %v", err)
+		t.Errorf("missing subprotocol: %v", err)
 	}
 }
 
-// A client that does not read holds up nobody: it is disconnected, and other
-// tenants' calls go on meanwhile.
+// A client that does not read must not block others: it is disconnected, and other tenants'
+// calls continue meanwhile.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
 	s := start(t, "\nx1", settingsJSON)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	slow, _, err := dialAPI(ctx, s.p, testToken)
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	defer slow.CloseNow()
 	long := strings.Repeat("x", 60)
-	go func() { // each is answered with an error of a kind that is not counted as unreadable
+	go func() { // each is answered with an error that doesn't count as an unreadable message
 		for ctx.Err() == nil {
 			if slow.Write(ctx, websocket.MessageText, []byte(`{"type":"release","call":"`+long+`"}`)) != nil {
 				return
@@ -182,16 +182,16 @@
 		sync sockets 0`)
 }
 
-// newCert writes a certificate for 127.0.0.1 and its key, and returns the pool
-// that trusts it.
+// newCert writes a certificate for 127.0.0.1 and its key, and returns a pool that contains
+// it.
 func newCert(t *testing.T, cert, key string) *x509.CertPool {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{{127, 0, 0, 1}}}
-	der, err := x509.CreateCertificate(rand.Reader, form, form, private.Public(), private)
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{{127, 0, 0, 1}}}
+	der, err := x509.CreateCertificate(rand.Reader, template, template, private.Public(), private)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,15 +209,15 @@
 	return pool
 }
 
-// With a certificate both listeners speak TLS only. A reload takes a new one,
-// and a bad one changes nothing.
+// With a certificate, both listeners accept only TLS. A reload loads a new certificate, and
+// an invalid one changes nothing.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	first := newCert(t, cert, key)
-	s := startWith(t, "\nx1", settingsJSON, func(sv *config.Service) { sv.TLSCert, sv.TLSKey = cert, key })
-	reach := func(pool *x509.CertPool) error {
+	s := startWith(t, "\nx1", settingsJSON, func(serviceConfig *config.Service) { serviceConfig.TLSCert, serviceConfig.TLSKey = cert, key })
+	connect := func(pool *x509.CertPool) error {
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, DisableKeepAlives: true}}
 		resp, err := client.Get("https://" + s.p.AdminAddr.String() + "/healthz")
 		if err != nil {
@@ -231,11 +231,11 @@
 		}
 		return err
 	}
-	if err := reach(first); err != nil {
+	if err := connect(first); err != nil {
 		t.Error(err)
 	}
 	if _, _, err := dialAPI(t.Context(), s.p, testToken); err == nil {
-		t.Error("the call API takes connections without TLS")
+		t.Error("the call API accepts connections without TLS")
 	}
 	second := newCert(t, cert, key)
 	if err := s.p.Reload(); err != nil {
@@ -245,18 +245,18 @@
 		t.Fatal(err)
 	}
 	if err := s.p.Reload(); err == nil || !strings.Contains(err.Error(), "key tls:") {
-		t.Errorf("a bad certificate: %v", err)
+		t.Errorf("invalid certificate: %v", err)
 	}
-	if err := reach(second); err != nil {
+	if err := connect(second); err != nil {
 		t.Error(err)
 	}
-	if reach(first) == nil {
+	if connect(first) == nil {
 		t.Error("the old certificate is still in use")
 	}
 }
 
-// Guards against two fronts that share one limit on descriptors and could each
-// use it up.
+// Guards against exhausted descriptors: the platform server and the call API share one
+// limit, which either could use up alone.
 func TestConnectionsFitTheDescriptors(t *testing.T) {
 	for conns, want := range map[int]string{432: "", 433: "key callapi.max_connections: 433"} {
 		_, err := New(&config.Platform{Sockets: 1024}, &config.Service{MaxConns: conns}, slog.New(slog.DiscardHandler))
@@ -266,11 +266,11 @@
 	}
 }
 
-// A plan that can't be taken stops nothing: calls go on as without one.
+// If the plan can't be loaded, the proxy works as without one.
 func TestBadPlanStopsNothing(t *testing.T) {
 	t.Parallel()
-	s := startWith(t, "\nx1", settingsJSON, func(sv *config.Service) {
-		sv.Plan = &planner.Settings{File: filepath.Join(t.TempDir(), "none.json"), Measure: true}
+	s := startWith(t, "\nx1", settingsJSON, func(serviceConfig *config.Service) {
+		serviceConfig.Plan = &planner.Settings{File: filepath.Join(t.TempDir(), "none.json"), Measure: true}
 	})
 	s.play(`
 		w1> {"type":"setup","call":"a","class":"space-check","number":"1","dest":1,"wait_ms":9000}
