--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 	HasWidths   bool            // the configuration gives the number of circuits per call of each class
 	Tenants     map[string]bool // nil: the configuration lists no tenants
 	DialTimeout time.Duration
-	MaxCalls    int
+	MaxCalls    int // limit on concurrent calls
 }
 
 // SilenceTimeout is how long a switch with an unanswered set-up may send nothing at all:
@@ -144,7 +144,7 @@
 	bytesPerOpenSetUp  = 24 << 10
 	bytesPerCall       = 6 << 10
 	bytesPerStoredCall = 1 << 10
-	maxCalls           = 8192
+	maxCalls           = 8192 // upper limit of ResourceLimits.MaxCalls
 )
 
 // ResourceLimits derives the limits from the memory and socket limits. Connections, open
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -347,12 +347,12 @@
 func (s *script) runLine(ctx context.Context, line string) {
 	t := s.t
 	t.Helper()
-	name, rest, _ := strings.Cut(line, " ")
-	who, dir := strings.TrimRight(name, "<>"), name[len(name)-1]
-	json := strings.ContainsRune("wvx", rune(who[0]))
+	name, argument, _ := strings.Cut(line, " ")
+	peer, dir := strings.TrimRight(name, "<>"), name[len(name)-1]
+	json := strings.ContainsRune("wvx", rune(peer[0]))
 	switch {
 	case name == "list":
-		s.events <- regexp.MustCompile(`\{([sx]\d) (\d) (\w+)\}`).ReplaceAllStringFunc(rest, func(m string) string {
+		s.events <- regexp.MustCompile(`\{([sx]\d) (\d) (\w+)\}`).ReplaceAllStringFunc(argument, func(m string) string {
 			var n string
 			var cell int
 			var phase string
@@ -360,50 +360,50 @@
 			return s.member(n, cell, phase)
 		})
 	case name == "sync":
-		s.sync(ctx, rest)
+		s.sync(ctx, argument)
 	case name == "term":
 		s.term()
 	case name == "hup":
 		previous := s.events
 		file := s.newConfig()
-		if rest == "bad" {
+		if argument == "bad" {
 			file, s.events = bytes.Replace(file, []byte(`"seed":"1"`), []byte(`"seed":"green"`), 1), previous
 		}
 		s.configFile.Store(&file)
 		s.hup <- syscall.SIGHUP
-	case rest == "close":
-		s.close(who, json)
-	case rest == "refuse":
-		s.switches[who].ln.Close()
-		s.close(who, json)
-	case rest == "eof":
-		_, r := s.stream(who)
+	case argument == "close":
+		s.close(peer, json)
+	case argument == "refuse":
+		s.switches[peer].ln.Close()
+		s.close(peer, json)
+	case argument == "eof":
+		_, r := s.stream(peer)
 		if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
 			t.Fatalf("want the end of the connection, got %x, error %v", b, err)
 		}
 	case json && dir == '>':
-		if err := s.socket(ctx, who).Write(ctx, websocket.MessageText, []byte(s.expand(rest))); err != nil {
+		if err := s.socket(ctx, peer).Write(ctx, websocket.MessageText, []byte(s.expand(argument))); err != nil {
 			t.Fatal(err)
 		}
 	case json && dir == '<':
-		_, b, err := s.socket(ctx, who).Read(ctx)
+		_, b, err := s.socket(ctx, peer).Read(ctx)
 		if err != nil {
-			t.Fatalf("want %s, got %v", rest, err)
+			t.Fatalf("want %s, got %v", argument, err)
 		}
 		got := regexp.MustCompile(`"(wait_ms|retry_after_ms)":\d+`).ReplaceAllString(string(b), `"$1":0`)
-		s.setVariable(rest, got)
-		if diff := cmp.Diff(s.expand(rest), got); diff != "" {
+		s.setVariable(argument, got)
+		if diff := cmp.Diff(s.expand(argument), got); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 	case dir == '>':
-		c, _ := s.stream(who)
-		b, _ := parsePattern(t, rest)
+		c, _ := s.stream(peer)
+		b, _ := parsePattern(t, argument)
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
 		}
 	case dir == '<':
-		_, r := s.stream(who)
-		want, wildcards := parsePattern(t, rest)
+		_, r := s.stream(peer)
+		want, wildcards := parsePattern(t, argument)
 		got, err := readMasked(r, wildcards)
 		if err != nil {
 			t.Fatalf("want %q, got %v", want, err)
@@ -431,20 +431,20 @@
 	return regexp.MustCompile(`\{(\w+)\}`).ReplaceAllStringFunc(line, func(m string) string { return s.variables[m[1:len(m)-1]] })
 }
 
-func (s *script) close(who string, json bool) {
-	switch sw := s.switches[who]; {
+func (s *script) close(peer string, json bool) {
+	switch sw := s.switches[peer]; {
 	case json && sw != nil:
 		sw.currentSocket.CloseNow()
 		sw.currentSocket = nil
 	case json:
-		s.clients[who].CloseNow()
-		delete(s.clients, who)
+		s.clients[peer].CloseNow()
+		delete(s.clients, peer)
 	case sw != nil:
 		sw.current.Close()
 		sw.current = nil
 	default:
-		s.callers[who].Close()
-		delete(s.callers, who)
+		s.callers[peer].Close()
+		delete(s.callers, peer)
 	}
 }
 
