--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,19 +19,19 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// Server answers the administration API. Every field is wanted.
+// Server serves the administration API. Every field must be set.
 type Server struct {
-	TokenHash  string // of the administrators' bearer token
+	TokenHash  string // tenant.HashToken of the administrators' bearer token
 	Tenants    *tenant.Registry
 	Switches   func() []core.Switch
 	Status     func() Status
-	Reload     func() error        // reads the inventory anew, all or nothing
+	Reload     func() error        // reads the inventory again; an error means that nothing changed
 	Disconnect func(tenant string) // closes a deleted tenant's connections
 	Log        *slog.Logger
-	Metrics    prometheus.Gatherer // what GET /v1/metrics gives
+	Metrics    prometheus.Gatherer // served by GET /v1/metrics
 }
 
-// Status is how the proxy is.
+// Status is the phase of the proxy and the number of its calls.
 type Status struct {
 	Phase       string `json:"phase"`
 	Unanswered  int    `json:"calls_unanswered"`
@@ -40,10 +40,11 @@
 
 var json = jsoniter.Config{EscapeHTML: true, DisallowUnknownFields: true, ValidateJsonRawMessage: true}.Froze()
 
-const maxBody = 64 << 10
+const maxBodyBytes = 64 << 10
 
-// limits are a tenant's as a request gives them; what is left out stays.
-type limits struct {
+// tenantFields are the fields of a tenant in a request. Fields that are left out do not
+// change.
+type tenantFields struct {
 	ID             string   `json:"id"`
 	Disabled       *bool    `json:"disabled"`
 	MaxCalls       *int     `json:"max_calls"`
@@ -51,50 +52,50 @@
 	MaxSockets     *int     `json:"max_sockets"`
 }
 
-func (l limits) apply(s *tenant.Spec) {
-	set(&s.Disabled, l.Disabled)
-	set(&s.MaxCalls, l.MaxCalls)
-	set(&s.CallsPerSecond, l.CallsPerSecond)
-	set(&s.MaxSockets, l.MaxSockets)
+func (l tenantFields) apply(s *tenant.Spec) {
+	setIfPresent(&s.Disabled, l.Disabled)
+	setIfPresent(&s.MaxCalls, l.MaxCalls)
+	setIfPresent(&s.CallsPerSecond, l.CallsPerSecond)
+	setIfPresent(&s.MaxSockets, l.MaxSockets)
 }
 
-func set[T any](to, from *T) {
+func setIfPresent[T any](to, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
-// withToken is a reply that holds a new token, the one time that it is shown.
-type withToken struct {
+// tenantWithToken is a reply that contains a new token. The token can't be read later.
+type tenantWithToken struct {
 	tenant.View
 	Token string `json:"token"`
 }
 
-// Handler returns the API's handler.
+// Handler returns the handler of the API and of GET /healthz, which needs no token.
 func (s *Server) Handler() http.Handler {
 	api := http.NewServeMux()
-	api.HandleFunc("GET /v1/status", s.serve(func(*http.Request) (int, any, error) {
+	api.HandleFunc("GET /v1/status", s.handle(func(*http.Request) (int, any, error) {
 		return http.StatusOK, s.Status(), nil
 	}))
 	api.Handle("GET /v1/metrics", promhttp.HandlerFor(s.Metrics, promhttp.HandlerOpts{}))
-	api.HandleFunc("GET /v1/switches", s.serve(s.switches))
-	api.HandleFunc("POST /v1/inventory/reload", s.serve(func(*http.Request) (int, any, error) {
+	api.HandleFunc("GET /v1/switches", s.handle(s.listSwitches))
+	api.HandleFunc("POST /v1/inventory/reload", s.handle(func(*http.Request) (int, any, error) {
 		if err := s.Reload(); err != nil {
-			return 0, nil, refusal{http.StatusUnprocessableEntity, "bad_inventory", err.Error()}
+			return 0, nil, apiError{http.StatusUnprocessableEntity, "bad_inventory", err.Error()}
 		}
 		return http.StatusNoContent, nil, nil
 	}))
-	api.HandleFunc("GET /v1/tenants", s.serve(func(*http.Request) (int, any, error) {
+	api.HandleFunc("GET /v1/tenants", s.handle(func(*http.Request) (int, any, error) {
 		return http.StatusOK, map[string]any{"tenants": s.Tenants.All()}, nil
 	}))
-	api.HandleFunc("POST /v1/tenants", s.serve(s.create))
-	api.HandleFunc("GET /v1/tenants/{id}", s.serve(func(r *http.Request) (int, any, error) {
-		v, err := s.Tenants.Get(r.PathValue("id"))
-		return http.StatusOK, v, err
+	api.HandleFunc("POST /v1/tenants", s.handle(s.createTenant))
+	api.HandleFunc("GET /v1/tenants/{id}", s.handle(func(r *http.Request) (int, any, error) {
+		view, err := s.Tenants.Get(r.PathValue("id"))
+		return http.StatusOK, view, err
 	}))
-	api.HandleFunc("PATCH /v1/tenants/{id}", s.serve(s.update))
-	api.HandleFunc("POST /v1/tenants/{id}/token", s.serve(s.renew))
-	api.HandleFunc("DELETE /v1/tenants/{id}", s.serve(func(r *http.Request) (int, any, error) {
+	api.HandleFunc("PATCH /v1/tenants/{id}", s.handle(s.updateTenant))
+	api.HandleFunc("POST /v1/tenants/{id}/token", s.handle(s.renewToken))
+	api.HandleFunc("DELETE /v1/tenants/{id}", s.handle(func(r *http.Request) (int, any, error) {
 		id := r.PathValue("id")
 		err := s.Tenants.Delete(id)
 		if err == nil {
@@ -102,82 +103,82 @@
 		}
 		return http.StatusNoContent, nil, err
 	}))
-	all := http.NewServeMux()
-	all.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
+	root := http.NewServeMux()
+	root.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, s.Status().Phase+"\n")
 	})
-	all.Handle("/v1/", s.guard(api))
-	return all
+	root.Handle("/v1/", s.requireToken(api))
+	return root
 }
 
-// guard lets administrators in.
-func (s *Server) guard(next http.Handler) http.Handler {
+// requireToken passes on requests that carry the administrators' bearer token.
+func (s *Server) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if !ok || subtle.ConstantTimeCompare([]byte(tenant.HashToken(token)), []byte(s.TokenHash)) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			s.reply(w, http.StatusUnauthorized, refusal{0, "unauthorized", "a valid bearer token is wanted"}.body())
+			s.writeReply(w, http.StatusUnauthorized, apiError{0, "unauthorized", "a valid bearer token is wanted"}.body())
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// refusal is an error with its status and code.
-type refusal struct {
+// apiError is an error with its HTTP status and API code.
+type apiError struct {
 	status       int
 	code, detail string
 }
 
-func (e refusal) Error() string { return e.detail }
+func (e apiError) Error() string { return e.detail }
 
-func (e refusal) body() any {
-	type fault struct {
+func (e apiError) body() any {
+	type errorBody struct {
 		Code   string `json:"code"`
 		Detail string `json:"detail"`
 	}
-	return map[string]fault{"error": {e.code, e.detail}}
+	return map[string]errorBody{"error": {e.code, e.detail}}
 }
 
-// serve replies with what a handler returns.
-func (s *Server) serve(do func(*http.Request) (int, any, error)) http.HandlerFunc {
+// handle writes the status and body, or the error, that a handler returns.
+func (s *Server) handle(handler func(*http.Request) (int, any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
-		status, body, err := do(r)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		status, body, err := handler(r)
 		if err != nil {
-			e := classify(err)
+			e := toAPIError(err)
 			status, body = e.status, e.body()
 		}
 		if r.Method != http.MethodGet {
 			s.Log.Info("administration", "method", r.Method, "path", r.URL.Path, "status", status)
 		}
-		s.reply(w, status, body)
+		s.writeReply(w, status, body)
 	}
 }
 
-func classify(err error) refusal {
-	var e refusal
+func toAPIError(err error) apiError {
+	var e apiError
 	switch {
 	case errors.As(err, &e):
 		return e
 	case errors.Is(err, tenant.ErrUnknown):
-		return refusal{http.StatusNotFound, "not_found", err.Error()}
+		return apiError{http.StatusNotFound, "not_found", err.Error()}
 	case errors.Is(err, tenant.ErrExists):
-		return refusal{http.StatusConflict, "exists", err.Error()}
+		return apiError{http.StatusConflict, "exists", err.Error()}
 	case errors.Is(err, tenant.ErrInUse):
-		return refusal{http.StatusConflict, "in_use", err.Error()}
+		return apiError{http.StatusConflict, "in_use", err.Error()}
 	}
-	return refusal{http.StatusBadRequest, "bad_request", err.Error()}
+	return apiError{http.StatusBadRequest, "bad_request", err.Error()}
 }
 
-func (s *Server) reply(w http.ResponseWriter, status int, body any) {
+func (s *Server) writeReply(w http.ResponseWriter, status int, body any) {
 	if body == nil {
 		w.WriteHeader(status)
 		return
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		s.Log.Error("administration: no reply", "error", err)
+		s.Log.Error("administration: reply can't be encoded", "error", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -187,69 +188,70 @@
 	_, _ = w.Write(append(b, '\n'))
 }
 
-func body(r *http.Request) (l limits, err error) {
+func readFields(r *http.Request) (fields tenantFields, err error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		return l, refusal{http.StatusRequestEntityTooLarge, "too_large", err.Error()}
+		return fields, apiError{http.StatusRequestEntityTooLarge, "too_large", err.Error()}
 	}
-	if err := json.Unmarshal(b, &l); err != nil {
-		return l, refusal{http.StatusBadRequest, "bad_request", "not a JSON object of a tenant's fields: " + short(err)}
+	if err := json.Unmarshal(b, &fields); err != nil {
+		return fields, apiError{http.StatusBadRequest, "bad_request", "not a JSON object of a tenant's fields: " + withoutExcerpt(err)}
 	}
-	return l, nil
+	return fields, nil
 }
 
-// short leaves out where in the text the parser stood: it may quote all of it.
-func short(err error) string {
-	why, _, _ := strings.Cut(err.Error(), ", error found in")
-	return why
+// withoutExcerpt cuts the excerpt of the input from a parser's error: it may quote all
+// of the request.
+func withoutExcerpt(err error) string {
+	reason, _, _ := strings.Cut(err.Error(), ", error found in")
+	return reason
 }
 
-func (s *Server) create(r *http.Request) (int, any, error) {
-	l, err := body(r)
+func (s *Server) createTenant(r *http.Request) (int, any, error) {
+	fields, err := readFields(r)
 	if err != nil {
 		return 0, nil, err
 	}
 	token := tenant.NewToken()
-	spec := tenant.Spec{ID: l.ID, TokenSHA256: tenant.HashToken(token)}
-	l.apply(&spec)
+	spec := tenant.Spec{ID: fields.ID, TokenSHA256: tenant.HashToken(token)}
+	fields.apply(&spec)
 	if err := s.Tenants.Create(spec, tenant.OriginAPI); err != nil {
 		return 0, nil, err
 	}
-	v, err := s.Tenants.Get(spec.ID)
-	return http.StatusCreated, withToken{v, token}, err
+	view, err := s.Tenants.Get(spec.ID)
+	return http.StatusCreated, tenantWithToken{view, token}, err
 }
 
-func (s *Server) update(r *http.Request) (int, any, error) {
-	l, err := body(r)
+func (s *Server) updateTenant(r *http.Request) (int, any, error) {
+	fields, err := readFields(r)
 	if err != nil {
 		return 0, nil, err
 	}
-	if l.ID != "" && l.ID != r.PathValue("id") {
-		return 0, nil, refusal{http.StatusBadRequest, "bad_request", "id: can't be changed"}
+	if fields.ID != "" && fields.ID != r.PathValue("id") {
+		return 0, nil, apiError{http.StatusBadRequest, "bad_request", "id: can't be changed"}
 	}
-	v, err := s.Tenants.Update(r.PathValue("id"), l.apply)
-	return http.StatusOK, v, err
+	view, err := s.Tenants.Update(r.PathValue("id"), fields.apply)
+	return http.StatusOK, view, err
 }
 
-// renew gives a tenant a new token. Its open connections go on.
-func (s *Server) renew(r *http.Request) (int, any, error) {
+// renewToken gives a tenant a new token. Its open connections stay open.
+func (s *Server) renewToken(r *http.Request) (int, any, error) {
 	token := tenant.NewToken()
-	v, err := s.Tenants.Update(r.PathValue("id"), func(t *tenant.Spec) { t.TokenSHA256 = tenant.HashToken(token) })
-	return http.StatusOK, withToken{v, token}, err
+	view, err := s.Tenants.Update(r.PathValue("id"), func(t *tenant.Spec) { t.TokenSHA256 = tenant.HashToken(token) })
+	return http.StatusOK, tenantWithToken{view, token}, err
 }
 
-var stateNames = map[routing.State]string{routing.Ready: "up", routing.Draining: "draining"}
+var statusByState = map[routing.State]string{routing.Ready: "up", routing.Draining: "draining"}
 
-func (s *Server) switches(*http.Request) (int, any, error) {
-	type view struct {
+func (s *Server) listSwitches(*http.Request) (int, any, error) {
+	type switchView struct {
 		ID       string `json:"id"`
 		Address  string `json:"address"`
 		Exchange int    `json:"exchange"`
 		Status   string `json:"status"`
 	}
-	vs := []view{}
-	for _, m := range s.Switches() {
-		vs = append(vs, view{m.ID, m.Addr, m.Exchange, stateNames[m.State]})
+	views := []switchView{}
+	for _, sw := range s.Switches() {
+		views = append(views, switchView{sw.ID, sw.Addr, sw.Exchange, statusByState[sw.State]})
 	}
-	return http.StatusOK, map[string]any{"switches": vs}, nil
+	return http.StatusOK, map[string]any{"switches": views}, nil
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// It is strict: each error names the file, the line and the key.
+// Each error names the file, the line and the key.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ name, text, from, to, want string }{
 		{"a.yaml", yamlText, "exchange: 1\n", "exchange: one\n", "a.yaml:9: key exchange:"},
--- a/internal/inventory/plan_test.go
+++ b/internal/inventory/plan_test.go
@@ -14,20 +14,20 @@
 	"violetspan.example/violetspan/decide/plan"
 )
 
-// row is one entry for the generator of both forms.
+// row is one generated entry, for CSV and YAML.
 type row struct {
 	kind, name string
 	vals       [][2]string
 }
 
-// asCSV writes rows as one table.
+// asCSV formats rows as a CSV table.
 func asCSV(rows []row) string {
 	cols := []string{"kind", "name"}
-	at := map[string]int{}
+	columnOf := map[string]int{}
 	for _, r := range rows {
 		for _, v := range r.vals {
-			if _, ok := at[v[0]]; !ok {
-				at[v[0]] = len(cols)
+			if _, ok := columnOf[v[0]]; !ok {
+				columnOf[v[0]] = len(cols)
 				cols = append(cols, v[0])
 			}
 		}
@@ -38,7 +38,7 @@
 		cells := make([]string, len(cols))
 		cells[0], cells[1] = r.kind, r.name
 		for _, v := range r.vals {
-			cells[at[v[0]]] = v[1]
+			cells[columnOf[v[0]]] = v[1]
 		}
 		b.WriteString(strings.Join(cells, ",") + "\n")
 	}
@@ -47,6 +47,7 @@
 
 var plural = map[string]string{"switch": "switches", "tenant": "tenants", "group": "groups", "class": "classes", "demand": "demands"}
 
+// asYAML formats rows as a YAML inventory.
 func asYAML(rows []row) string {
 	var b strings.Builder
 	b.WriteString("all:\n  children:\n")
@@ -65,8 +66,8 @@
 	return b.String()
 }
 
-// rows draws an inventory.
-func rows(r *rand.Rand) []row {
+// randomRows returns a random valid inventory.
+func randomRows(r *rand.Rand) []row {
 	num := func() string { return fmt.Sprint(float64(r.IntN(1000)) / 8) }
 	maybe := func(v [][2]string, key, val string) [][2]string {
 		if r.IntN(2) == 0 {
@@ -106,15 +107,15 @@
 		}
 	}
 	r.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	// YAML keeps kinds together, so within a kind both forms have the same order.
+	// YAML groups the entries by kind; within a kind both formats have the same order.
 	return out
 }
 
-// Good inventories load identically from both forms, and in one file or two.
+// Valid inventories load identically from CSV and YAML, and from one file or two.
 func TestGeneratedPairs(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for k := range 300 {
-		rs := rows(r)
+		rs := randomRows(r)
 		a, err := Parse("a.csv", []byte(asCSV(rs)))
 		b, err2 := Parse("a.yaml", []byte(asYAML(rs)))
 		if err != nil || err2 != nil {
@@ -127,7 +128,7 @@
 		one, two := filepath.Join(dir, "one.csv"), filepath.Join(dir, "two.yaml")
 		cut := r.IntN(len(rs) + 1)
 		if os.WriteFile(one, []byte(asCSV(rs[:cut])), 0o600) != nil || os.WriteFile(two, []byte(asYAML(rs[cut:])), 0o600) != nil {
-			t.Fatal("not written")
+			t.Fatal("inventory files could not be written")
 		}
 		c, err := Load(one, two)
 		if err != nil {
@@ -228,7 +229,7 @@
 	}
 }
 
-// All faults are told, each with its line, not only the first.
+// All errors are reported, each with its line, not only the first.
 func TestEveryFault(t *testing.T) {
 	text := strings.NewReplacer("circuits: 30", "circuits: many", "width: 4", "width: 0", "from: lot-a", "from: lot-z",
 		"exchange: 1", "exchange: one").Replace(planText)
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,6 @@
-// Package tenant keeps the tenants of a hosted service: who they are, what they
-// may use, and what they use now. It lives in memory only; the inventory seeds
-// it at each start.
+// Package tenant keeps the tenants of a hosted service: their credentials, limits
+// and current usage. The data is held in memory only; the inventory provides it at
+// each start.
 package tenant
 
 import (
@@ -17,17 +17,17 @@
 	"time"
 )
 
-// Spec is what can be set of a tenant.
+// Spec holds the settings of a tenant.
 type Spec struct {
 	ID             string  `json:"id"`
 	Disabled       bool    `json:"disabled"`
-	MaxCalls       int     `json:"max_calls"`        // calls at once, those that stand included; 0: no limit
-	CallsPerSecond float64 `json:"calls_per_second"` // new calls; 0: no limit
-	MaxSockets     int     `json:"max_sockets"`      // connections at once; 0: the default
-	TokenSHA256    string  `json:"-"`                // hex; the token itself is kept nowhere
+	MaxCalls       int     `json:"max_calls"`        // concurrent calls, established ones included; 0: no limit
+	CallsPerSecond float64 `json:"calls_per_second"` // rate of new calls; 0: no limit
+	MaxSockets     int     `json:"max_sockets"`      // concurrent connections; 0: the default
+	TokenSHA256    string  `json:"-"`                // hex; the token itself is not stored
 }
 
-// View is a tenant as the administration API shows it.
+// View is a tenant with its usage, as the administration API returns it.
 type View struct {
 	Spec
 	Origin  string `json:"origin"` // "inventory" or "api"
@@ -35,7 +35,7 @@
 	Sockets int    `json:"sockets"`
 }
 
-// Errors that callers tell apart.
+// Errors returned by the methods of Registry.
 var (
 	ErrUnknown    = errors.New("no such tenant")
 	ErrExists     = errors.New("the tenant exists already")
@@ -45,7 +45,7 @@
 	ErrTokenInUse = errors.New("a token that another tenant has")
 )
 
-// The origins of a tenant.
+// Origins of a tenant.
 const (
 	OriginInventory = "inventory"
 	OriginAPI       = "api"
@@ -57,16 +57,18 @@
 	tokenBytes     = 32
 )
 
-// record is one tenant. A token bucket of one second's calls holds its rate.
+// record is one tenant. A token bucket that holds one second's calls, but at least
+// one, limits its call rate.
 type record struct {
 	Spec
 	origin         string
 	calls, sockets int
-	bucket         float64
-	filled         time.Time
+	bucketLevel    float64
+	lastRefill     time.Time
 }
 
-// Registry is the set of tenants. The zero value is not usable; see New.
+// Registry is the set of tenants. It is safe for concurrent use. The zero value is
+// not usable; see New.
 type Registry struct {
 	mu      sync.Mutex
 	tenants map[string]*record
@@ -74,17 +76,17 @@
 	now     func() time.Time
 }
 
-// New returns an empty registry on the given clock.
+// New returns an empty registry that reads the time from now.
 func New(now func() time.Time) *Registry {
 	return &Registry{tenants: map[string]*record{}, tokens: map[string]*record{}, now: now}
 }
 
-var idForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Check says what is wrong with a spec, by its key.
+// Check validates a spec. Its error starts with the JSON key of the invalid field.
 func (s Spec) Check() error {
 	switch {
-	case !idForm.MatchString(s.ID):
+	case !idPattern.MatchString(s.ID):
 		return fmt.Errorf("id: %q is not 1 to 63 of a-z, 0-9, '.', '_' and '-'", s.ID)
 	case s.MaxCalls < 0:
 		return fmt.Errorf("max_calls: %d is below 0", s.MaxCalls)
@@ -99,20 +101,21 @@
 	return nil
 }
 
-// HashToken is the form in which tokens are kept.
+// HashToken returns the hex SHA-256 digest of a token, the form in which it is stored.
 func HashToken(token string) string {
 	h := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(h[:])
 }
 
-// NewToken makes a bearer token.
+// NewToken returns a random bearer token.
 func NewToken() string {
 	b := make([]byte, tokenBytes)
 	rand.Read(b) // never fails
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Create adds a tenant.
+// Create adds a tenant. It returns ErrExists or ErrTokenInUse if the ID or the token is
+// already in use.
 func (r *Registry) Create(s Spec, origin string) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -125,23 +128,24 @@
 	if len(r.tenants) >= maxTenants {
 		return fmt.Errorf("more than %d tenants", maxTenants)
 	}
-	return r.put(&record{Spec: s, origin: origin})
+	return r.store(&record{Spec: s, origin: origin})
 }
 
-// put files a record whose spec was checked. It takes the lock as held.
-func (r *Registry) put(t *record) error {
-	if o := r.tokens[t.TokenSHA256]; o != nil && o.ID != t.ID {
+// store adds or replaces a record whose spec has been validated. r.mu must be held.
+func (r *Registry) store(t *record) error {
+	if other := r.tokens[t.TokenSHA256]; other != nil && other.ID != t.ID {
 		return ErrTokenInUse
 	}
-	if o := r.tenants[t.ID]; o != nil && r.tokens[o.TokenSHA256] == o {
-		delete(r.tokens, o.TokenSHA256)
+	if previous := r.tenants[t.ID]; previous != nil && r.tokens[previous.TokenSHA256] == previous {
+		delete(r.tokens, previous.TokenSHA256)
 	}
-	t.bucket, t.filled = max(1, t.CallsPerSecond), r.now()
+	t.bucketLevel, t.lastRefill = max(1, t.CallsPerSecond), r.now()
 	r.tenants[t.ID], r.tokens[t.TokenSHA256] = t, t
 	return nil
 }
 
-// Update changes a tenant by the function given and returns what it is then.
+// Update applies change to a tenant's spec and returns the updated tenant. The ID can't
+// be changed.
 func (r *Registry) Update(id string, change func(*Spec)) (View, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,13 +161,13 @@
 	}
 	next := *t
 	next.Spec = s
-	if err := r.put(&next); err != nil {
+	if err := r.store(&next); err != nil {
 		return View{}, err
 	}
 	return next.view(), nil
 }
 
-// Delete removes a tenant that has no calls.
+// Delete removes a tenant. It returns ErrInUse if the tenant has calls.
 func (r *Registry) Delete(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +187,7 @@
 	delete(r.tokens, t.TokenSHA256)
 }
 
-// Get returns a tenant.
+// Get returns a tenant, or ErrUnknown.
 func (r *Registry) Get(id string) (View, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,28 +197,29 @@
 	return View{}, ErrUnknown
 }
 
-// All returns every tenant by its id.
+// All returns every tenant, sorted by ID.
 func (r *Registry) All() []View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	vs := make([]View, 0, len(r.tenants))
+	views := make([]View, 0, len(r.tenants))
 	for _, t := range r.tenants {
-		vs = append(vs, t.view())
+		views = append(views, t.view())
 	}
-	slices.SortFunc(vs, func(a, b View) int { return strings.Compare(a.ID, b.ID) })
-	return vs
+	slices.SortFunc(views, func(a, b View) int { return strings.Compare(a.ID, b.ID) })
+	return views
 }
 
 func (t *record) view() View { return View{t.Spec, t.origin, t.calls, t.sockets} }
 
-// Seed sets the tenants of the inventory, all or none: those that it has are
-// created or set to what it says, and those that it no longer has are removed,
-// or disabled while they have calls. Tenants made through the API stay.
+// Seed applies the tenants of the inventory; on an error it changes nothing. Listed
+// tenants are created or updated. Tenants of an earlier inventory that are no longer
+// listed are removed, or disabled if they have calls. Tenants created through the API
+// are not changed.
 func (r *Registry) Seed(specs []Spec) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	want := map[string]Spec{}
-	tokens := map[string]string{}
+	specByID := map[string]Spec{}
+	idByToken := map[string]string{}
 	for _, s := range specs {
 		if err := s.Check(); err != nil {
 			return fmt.Errorf("tenant %q: %w", s.ID, err)
@@ -223,57 +228,58 @@
 		if t != nil && t.origin == OriginAPI {
 			return fmt.Errorf("tenant %q: %w, made through the API", s.ID, ErrExists)
 		}
-		if other, twice := tokens[s.TokenSHA256]; twice {
+		if other, found := idByToken[s.TokenSHA256]; found {
 			return fmt.Errorf("tenant %q: %w: %q", s.ID, ErrTokenInUse, other)
 		}
-		if o := r.tokens[s.TokenSHA256]; o != nil && o.origin == OriginAPI {
+		if holder := r.tokens[s.TokenSHA256]; holder != nil && holder.origin == OriginAPI {
 			return fmt.Errorf("tenant %q: %w", s.ID, ErrTokenInUse)
 		}
-		want[s.ID], tokens[s.TokenSHA256] = s, s.ID
+		specByID[s.ID], idByToken[s.TokenSHA256] = s, s.ID
 	}
 	for id, t := range r.tenants {
 		if t.origin == OriginAPI {
 			continue
 		}
-		delete(r.tokens, t.TokenSHA256) // set anew below: two tenants may have swapped theirs
-		if _, stays := want[id]; stays {
+		delete(r.tokens, t.TokenSHA256) // added again below: two tenants may have swapped tokens
+		if _, listed := specByID[id]; listed {
 			continue
 		}
 		if t.calls > 0 {
 			t.Disabled = true
-			if _, taken := tokens[t.TokenSHA256]; !taken {
+			if _, taken := idByToken[t.TokenSHA256]; !taken {
 				r.tokens[t.TokenSHA256] = t
 			}
 		} else {
 			delete(r.tenants, id)
 		}
 	}
-	for id, s := range want {
+	for id, s := range specByID {
 		next := record{origin: OriginInventory}
 		if t := r.tenants[id]; t != nil {
 			next = *t
 		}
 		next.Spec = s
-		if err := r.put(&next); err != nil {
+		if err := r.store(&next); err != nil {
 			return fmt.Errorf("tenant %q: %w", id, err)
 		}
 	}
 	return nil
 }
 
-// Authenticate returns the tenant whose bearer token is given. Tokens are
-// compared by their hashes, so the time it takes tells nothing of them.
+// Authenticate returns the ID of the tenant with the given bearer token. Tokens are
+// looked up by their hashes, so the lookup time reveals nothing about them.
 func (r *Registry) Authenticate(token string) (string, bool) {
-	h := HashToken(token)
+	hash := HashToken(token)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.tokens[h]; t != nil {
+	if t := r.tokens[hash]; t != nil {
 		return t.ID, true
 	}
 	return "", false
 }
 
-// Connect counts a connection in, or says that the tenant has too many.
+// Connect counts a new connection of a tenant. It returns ErrQuota if the tenant has
+// too many.
 func (r *Registry) Connect(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,18 +287,18 @@
 	if t == nil {
 		return ErrUnknown
 	}
-	most := t.MaxSockets
-	if most == 0 {
-		most = defaultSockets
+	limit := t.MaxSockets
+	if limit == 0 {
+		limit = defaultSockets
 	}
-	if t.sockets >= most {
+	if t.sockets >= limit {
 		return ErrQuota
 	}
 	t.sockets++
 	return nil
 }
 
-// Disconnect counts a connection out.
+// Disconnect removes a closed connection from the tenant's count.
 func (r *Registry) Disconnect(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -301,9 +307,10 @@
 	}
 }
 
-// BeginCall counts a new call in, or says why the tenant may not have it and when
-// to come back; 0 where that can't be told.
-func (r *Registry) BeginCall(id string) (again time.Duration, err error) {
+// BeginCall counts a new call of a tenant. If the tenant may not make it, BeginCall
+// returns ErrUnknown, ErrDisabled or ErrQuota, and after how long to retry; 0 if that is
+// not known.
+func (r *Registry) BeginCall(id string) (retryAfter time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.tenants[id]
@@ -317,18 +324,18 @@
 	}
 	if rate := t.CallsPerSecond; rate > 0 {
 		now := r.now()
-		t.bucket = min(max(1, rate), t.bucket+rate*now.Sub(t.filled).Seconds())
-		t.filled = now
-		if t.bucket < 1 {
-			return time.Duration((1 - t.bucket) / rate * float64(time.Second)), ErrQuota
+		t.bucketLevel = min(max(1, rate), t.bucketLevel+rate*now.Sub(t.lastRefill).Seconds())
+		t.lastRefill = now
+		if t.bucketLevel < 1 {
+			return time.Duration((1 - t.bucketLevel) / rate * float64(time.Second)), ErrQuota
 		}
-		t.bucket--
+		t.bucketLevel--
 	}
 	t.calls++
 	return 0, nil
 }
 
-// EndCall counts a call out.
+// EndCall removes an ended call from the tenant's count.
 func (r *Registry) EndCall(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -10,7 +10,7 @@
 
 func spec(id, token string) Spec { return Spec{ID: id, TokenSHA256: HashToken(token)} }
 
-func who(r *Registry, token string) string {
+func tenantOf(r *Registry, token string) string {
 	id, _ := r.Authenticate(token)
 	return id
 }
@@ -21,34 +21,34 @@
 		t.Fatal(err)
 	}
 	for name, bad := range map[string][]Spec{
-		"an id of the API's":         {spec("c", "tc"), spec("api", "x")},
-		"a token of the API's":       {spec("c", "tc"), spec("d", "k")},
-		"one token twice":            {spec("c", "tc"), spec("d", "tc")},
-		"a spec that can't be":       {spec("c", "tc"), spec("No Good", "x")},
+		"an ID of an API tenant":     {spec("c", "tc"), spec("api", "x")},
+		"a token of an API tenant":   {spec("c", "tc"), spec("d", "k")},
+		"the same token twice":       {spec("c", "tc"), spec("d", "tc")},
+		"an invalid spec":            {spec("c", "tc"), spec("No Good", "x")},
 		"a token that is not a hash": {spec("c", "tc"), {ID: "d", TokenSHA256: "x"}},
 	} {
 		before := r.All()
 		if err := r.Seed(bad); err == nil {
 			t.Errorf("%s: no error", name)
 		}
-		if diff := cmp.Diff(before, r.All()); diff != "" || who(r, "tc") != "" || who(r, "ta") != "a" {
+		if diff := cmp.Diff(before, r.All()); diff != "" || tenantOf(r, "tc") != "" || tenantOf(r, "ta") != "a" {
 			t.Errorf("%s: changed something\n%s", name, diff)
 		}
 	}
 }
 
-// Two tenants that swap their tokens must each be known by the other's: filing
-// the second must not drop the first one's.
+// Two tenants that swap their tokens must each authenticate with the other's: storing
+// the second tenant must not drop the token of the first.
 func TestSeedSwapsTokensAndDisablesWhatIsInUse(t *testing.T) {
 	r := New(time.Now)
-	for range 20 { // maps are walked in any order
+	for range 20 { // map iteration order varies
 		if err := r.Seed([]Spec{spec("a", "1"), spec("b", "2"), spec("c", "3")}); err != nil {
 			t.Fatal(err)
 		}
 		if err := r.Seed([]Spec{spec("a", "2"), spec("b", "1"), spec("c", "3")}); err != nil {
 			t.Fatal(err)
 		}
-		if got := who(r, "1") + who(r, "2"); got != "ba" {
+		if got := tenantOf(r, "1") + tenantOf(r, "2"); got != "ba" {
 			t.Fatalf("tokens 1 and 2 are %q, want b and a", got)
 		}
 	}
@@ -57,14 +57,14 @@
 		t.Fatal(err)
 	}
 	if _, err := r.BeginCall("c"); !errors.Is(err, ErrDisabled) {
-		t.Errorf("a tenant in use that left the inventory: got %v, want it disabled", err)
+		t.Errorf("tenant in use, no longer in the inventory: got %v, want it disabled", err)
 	}
 	if _, err := r.Get("b"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a tenant out of use that left the inventory: got %v, want it gone", err)
+		t.Errorf("unused tenant, no longer in the inventory: got %v, want it removed", err)
 	}
 	r.EndCall("c")
 	if err := r.Seed(nil); err != nil || len(r.All()) != 0 {
-		t.Errorf("left: %v, %v", r.All(), err)
+		t.Errorf("remaining tenants: %v, %v", r.All(), err)
 	}
 }
 
@@ -76,19 +76,19 @@
 	if err := r.Create(s, OriginAPI); err != nil {
 		t.Fatal(err)
 	}
-	begin := func(want error, again time.Duration) {
+	begin := func(want error, retryAfter time.Duration) {
 		t.Helper()
-		if got, err := r.BeginCall("a"); !errors.Is(err, want) || got != again {
-			t.Errorf("got %v and %v, want %v and %v", err, got, want, again)
+		if got, err := r.BeginCall("a"); !errors.Is(err, want) || got != retryAfter {
+			t.Errorf("got %v and %v, want %v and %v", err, got, want, retryAfter)
 		}
 	}
 	begin(nil, 0)
 	begin(nil, 0)
-	begin(ErrQuota, 500*time.Millisecond) // two a second
+	begin(ErrQuota, 500*time.Millisecond) // two calls per second
 	now = now.Add(500 * time.Millisecond)
 	begin(nil, 0)
 	now = now.Add(time.Second)
-	begin(ErrQuota, 0) // three at once
+	begin(ErrQuota, 0) // three concurrent calls
 	r.EndCall("a")
 	begin(nil, 0)
 	if err := r.Delete("a"); !errors.Is(err, ErrInUse) {
@@ -98,6 +98,6 @@
 		t.Errorf("two connections: %v", err)
 	}
 	if _, err := r.Update("a", func(s *Spec) { s.MaxCalls = -1 }); err == nil {
-		t.Error("a limit below 0 was taken")
+		t.Error("a limit below 0 was accepted")
 	}
 }
