--- a/internal/callapi/message.go
+++ b/internal/callapi/message.go
@@ -1,5 +1,5 @@
-// Package callapi is the call-control API over WebSocket: the front that takes
-// tenants' calls, and the way to switches that speak the same API.
+// Package callapi implements the call-control API over WebSocket: the server for the
+// clients of tenants, and the connection to switches that speak the same API.
 // docs/callapi.md describes it.
 package callapi
 
@@ -16,20 +16,20 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Protocol is the WebSocket subprotocol, which both sides must speak.
+// Protocol is the WebSocket subprotocol that both sides must support.
 const Protocol = "violetspan.calls.v1"
 
-// Limits on what a message may hold.
+// Limits on messages and their fields, in bytes unless noted.
 const (
 	maxMessage     = 16 << 10
-	maxDescription = 8 << 10 // as bytes: it must fit the platform's messages too
+	maxDescription = 8 << 10 // it must fit the platform's messages, too
 	maxID          = 64
-	maxWidth       = 1 << 10
+	maxWidth       = 1 << 10 // circuits
 	maxWait        = time.Minute
 )
 
-// The types of messages. A set-up and a release go towards the switch, the
-// others come from it; errors and the pings of WebSocket itself go both ways.
+// Types of messages. Set-ups and releases are sent towards the switch, the others come
+// from it. Errors and WebSocket pings are sent in both directions.
 const (
 	typeSetUp    = "setup"
 	typeRelease  = "release"
@@ -41,59 +41,61 @@
 	typeError    = "error"
 )
 
-// message is any message of the API; which fields it has goes by its type.
+// message is any message of the API. Its type determines which fields it has.
 type message struct {
 	Type string `json:"type"`
 	Call string `json:"call,omitempty"`
 
-	// Of a set-up.
+	// Fields of a set-up.
 	Class  string  `json:"class,omitempty"`
 	Number string  `json:"number,omitempty"`
 	Dest   *int    `json:"dest,omitempty"`
 	Width  int     `json:"width,omitempty"`
 	WaitMs float64 `json:"wait_ms,omitempty"`
 
-	// Of a set-up and an answer; the second for what is no UTF-8 text.
+	// Fields of a set-up and an answer; the second is used if the description is not
+	// valid UTF-8.
 	Description    string `json:"description,omitempty"`
 	DescriptionB64 string `json:"description_b64,omitempty"`
 
-	// Of the ends of a call.
+	// Fields of refused, failed and released.
 	Reason       string `json:"reason,omitempty"`
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 
-	// Of a group's state.
+	// Fields of a group's state.
 	Free *int `json:"free,omitempty"`
 	Size *int `json:"size,omitempty"`
 
-	// Of an error.
+	// Fields of an error.
 	Code   string `json:"code,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// The reasons of the ends of a call.
+// Reasons of refused, failed and released.
 const (
-	reasonNoRoute  = "no_route"          // the module turned it away
-	reasonFault    = "fault"             // the attempts failed
-	reasonBusy     = "overload"          // the proxy has no room
-	reasonQuota    = "quota"             // the tenant's quota is used up
-	reasonDisabled = "disabled"          // the tenant is disabled
-	reasonLeft     = "connection_closed" // its last connection closed before its answer
-	reasonGivenUp  = "given_up"          // the client released it before its answer
-	reasonEnded    = "ended"             // it came to its end
-	reasonCut      = "cut"               // it was cut
-	reasonCaller   = "caller"            // the client hung up
+	reasonNoRoute          = "no_route"          // the controller refused the call
+	reasonFault            = "fault"             // all attempts failed
+	reasonOverload         = "overload"          // the proxy can't accept another call
+	reasonQuota            = "quota"             // the tenant's quota is used up
+	reasonDisabled         = "disabled"          // the tenant is disabled
+	reasonConnectionClosed = "connection_closed" // its last connection closed before the final answer
+	reasonGivenUp          = "given_up"          // the client released it before the final answer
+	reasonEnded            = "ended"             // the call ended normally
+	reasonCut              = "cut"               // the call was cut
+	reasonCaller           = "caller"            // the client hung up
 )
 
-// The codes of errors.
+// Codes of errors.
 const (
-	codeBadMessage = "bad_message" // no JSON, or a field that can't be
-	codeConflict   = "conflict"    // a known id with other content
-	codeUnknown    = "unknown_call"
+	codeBadMessage  = "bad_message" // invalid JSON or an invalid field
+	codeConflict    = "conflict"    // a known call ID with different content
+	codeUnknownCall = "unknown_call"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-func (m *message) describe(b []byte) {
+// setDescription sets the description field that fits b.
+func (m *message) setDescription(b []byte) {
 	if utf8.Valid(b) {
 		m.Description = string(b)
 	} else {
@@ -101,7 +103,8 @@
 	}
 }
 
-func (m *message) described() ([]byte, error) {
+// decodeDescription returns the description of either field. An error names the field.
+func (m *message) decodeDescription() ([]byte, error) {
 	b := []byte(m.Description)
 	if m.DescriptionB64 != "" {
 		if m.Description != "" {
@@ -118,41 +121,41 @@
 	return b, nil
 }
 
-// errBad is a message that can't be read; the connection itself is sound.
-type errBad struct{ why string }
+// badMessageError reports an unreadable message on a connection that still works.
+type badMessageError struct{ problem string }
 
-func (e errBad) Error() string { return e.why }
+func (e badMessageError) Error() string { return e.problem }
 
-// read reads one message, which ends within a time once it has begun.
-func read(ctx context.Context, c *websocket.Conn, rest time.Duration) (m message, err error) {
+// read reads one message. The timeout runs from the message's first bytes to its end.
+func read(ctx context.Context, c *websocket.Conn, timeout time.Duration) (m message, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	kind, r, err := c.Reader(ctx)
 	if err != nil {
 		return m, err
 	}
-	late := time.AfterFunc(rest, cancel)
-	defer late.Stop()
+	timer := time.AfterFunc(timeout, cancel)
+	defer timer.Stop()
 	b, err := io.ReadAll(r)
 	if err != nil {
 		return m, err
 	}
 	if kind != websocket.MessageText {
-		return m, errBad{"a text message is wanted"}
+		return m, badMessageError{"a text message is wanted"}
 	}
 	if err := json.Unmarshal(b, &m); err != nil {
-		return m, errBad{"not a JSON object of the API's form"}
+		return m, badMessageError{"not a JSON object of the API's form"}
 	}
 	return m, nil
 }
 
-// write writes one message within a time.
-func write(ctx context.Context, c *websocket.Conn, m message, within time.Duration) error {
+// write writes one message, and fails after the timeout.
+func write(ctx context.Context, c *websocket.Conn, m message, timeout time.Duration) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.Write(ctx, websocket.MessageText, b)
 }
--- /dev/null
+++ b/internal/callapi/server.go
@@ -0,0 +1,585 @@
+package callapi
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/coder/websocket"
+
+	"violetspan.example/violetspan/internal/core"
+	"violetspan.example/violetspan/internal/tenant"
+)
+
+// CallHandler processes the calls that a Server receives; core.Core implements it. Offer
+// returns an error if it can't accept the call. HangUp ends a call at its switch, or
+// cancels its set-up.
+type CallHandler interface {
+	Offer(s *core.SetUp, from core.Caller) error
+	HangUp(id uint64)
+}
+
+// Class is a class of calls: its index in the settings and its default width.
+type Class struct {
+	Index, Width int
+}
+
+// Server serves the API to the clients of tenants. Its exported fields must be set before
+// its first use.
+type Server struct {
+	Handler         CallHandler
+	Tenants         *tenant.Registry
+	Classes         map[string]Class
+	Log             *slog.Logger
+	AnswerRetention time.Duration // how long a call is stored after its end, for clients that reconnect
+	MaxStoredCalls  int           // limit on stored calls, ended ones included
+	MaxStoredBytes  int           // limit on the descriptions of stored calls, in bytes
+	Destinations    int           // number of destinations; the highest dest is one less
+
+	mu          sync.Mutex
+	tenants     map[string]*tenantState // by tenant ID
+	stored      usage                   // of all tenants
+	closed      bool
+	connections sync.WaitGroup // open connections; added to under mu, and only while closed is false
+}
+
+// tenantState holds the calls and sockets of one tenant, so that operations on a tenant's
+// connections take time in proportion to its own calls and not to all calls.
+type tenantState struct {
+	calls   map[string]*call // by the tenant's call ID
+	sockets map[*socket]bool
+	used    usage
+}
+
+// usage is the number of stored calls and the size of their descriptions in bytes.
+type usage struct{ calls, bytes int }
+
+func (u *usage) add(calls, bytes int) {
+	u.calls += calls
+	u.bytes += bytes
+}
+
+// callKey identifies a call: each tenant chooses the IDs of its own calls.
+type callKey struct{ tenant, id string }
+
+// request is the content of a set-up. A repeated set-up must have the same content.
+type request struct {
+	class, number, description string
+	dest, width                int
+}
+
+// The states of a call.
+type state int
+
+const (
+	pending state = iota // no final answer yet
+	established
+	ended
+)
+
+// call is one call of a tenant. It is stored for Server.AnswerRetention after its end, even
+// if its sockets are closed, so that a client that reconnects receives the same answer.
+type call struct {
+	server *Server
+	key    callKey
+	coreID uint64
+	request
+
+	// Guarded by server.mu:
+	state       state
+	bytes       int              // counted in the stored usage
+	counted     bool             // counted in the tenant's quota
+	watchers    map[*socket]bool // the open sockets that have sent its set-up
+	answer      message          // the final answer, unless pending
+	released    message          // its end, if it was established
+	undelivered bool             // released has not been queued on any socket
+}
+
+const (
+	socketQueueLen       = 256
+	writeTimeout         = 2 * time.Second
+	pingInterval         = 15 * time.Second
+	pingTimeout          = 5 * time.Second
+	closeTimeout         = 2 * time.Second
+	messageTimeout       = 2 * time.Second // from the start of a client's message to its end
+	tenantStorageDivisor = 4               // one tenant may use 1/tenantStorageDivisor of the storage
+	maxBadMessages       = 20              // unreadable messages on one socket, after which it is closed
+	defaultRetryAfter    = time.Second
+)
+
+// socket is one client's connection.
+type socket struct {
+	server        *Server
+	tenant        string
+	conn          *websocket.Conn
+	queue         chan message
+	abort         context.CancelFunc // closes the connection at once
+	flushAndClose context.CancelFunc // closes the connection when the queue has been written
+}
+
+// ServeHTTP accepts a client's connection and serves it until it ends.
+func (srv *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	id, known := "", false
+	if ok {
+		id, known = srv.Tenants.Authenticate(token)
+	}
+	if !known {
+		w.Header().Set("WWW-Authenticate", "Bearer")
+		http.Error(w, "a valid bearer token is wanted", http.StatusUnauthorized)
+		return
+	}
+	if err := srv.Tenants.Connect(id); err != nil {
+		http.Error(w, err.Error(), http.StatusTooManyRequests)
+		return
+	}
+	defer srv.Tenants.Disconnect(id)
+	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{Protocol}})
+	if err != nil {
+		srv.Log.Warn("call API: WebSocket handshake failed", "tenant", id, "error", err)
+		return
+	}
+	defer conn.CloseNow()
+	if conn.Subprotocol() != Protocol {
+		conn.Close(websocket.StatusPolicyViolation, "subprotocol "+Protocol+" is wanted")
+		return
+	}
+	conn.SetReadLimit(maxMessage)
+	ctx, cancel := context.WithCancel(r.Context())
+	defer cancel()
+	flushing, flush := context.WithCancel(ctx)
+	defer flush()
+	s := &socket{server: srv, tenant: id, conn: conn, queue: make(chan message, socketQueueLen), abort: cancel, flushAndClose: flush}
+	if !srv.addSocket(s) {
+		conn.Close(websocket.StatusGoingAway, "the proxy stops")
+		return
+	}
+	defer srv.connections.Done()
+	var wg sync.WaitGroup
+	wg.Go(func() { s.write(ctx, flushing) })
+	err = s.read(ctx)
+	srv.removeSocket(s)
+	cancel()
+	wg.Wait()
+	srv.Log.Debug("call API: connection ended", "tenant", id, "error", err)
+}
+
+// write sends the queued messages, and pings, until the socket is closed. A client that
+// does not read in time is disconnected, so that it delays nobody.
+func (s *socket) write(ctx, flushing context.Context) {
+	defer s.abort()
+	ping := time.NewTicker(pingInterval)
+	defer ping.Stop()
+	for {
+		var err error
+		select {
+		case m := <-s.queue:
+			err = write(ctx, s.conn, m, writeTimeout)
+		case <-ping.C:
+			pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
+			err = s.conn.Ping(pingCtx)
+			cancel()
+		case <-flushing.Done():
+			// The proxy stops: the queue may contain the only answer to a call.
+			for len(s.queue) > 0 && err == nil {
+				err = write(ctx, s.conn, <-s.queue, writeTimeout)
+			}
+			if err == nil {
+				s.conn.Close(websocket.StatusGoingAway, "the proxy stops")
+			}
+			return
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// enqueue queues a message. If the queue is full, the client is too slow and is
+// disconnected; it can get its answers after it has reconnected.
+func (s *socket) enqueue(m message) {
+	select {
+	case s.queue <- m:
+	default:
+		s.server.Log.Warn("call API: slow client disconnected", "tenant", s.tenant)
+		s.abort()
+	}
+}
+
+// read handles the client's messages until the connection fails or too many of them were
+// unreadable.
+func (s *socket) read(ctx context.Context) error {
+	bad := 0
+	for {
+		m, err := read(ctx, s.conn, messageTimeout)
+		receivedAt := time.Now()
+		var badMessage badMessageError
+		switch {
+		case errors.As(err, &badMessage):
+		case err != nil:
+			return err
+		case m.Type == typeSetUp:
+			err = s.server.setUp(s, m, receivedAt)
+		case m.Type == typeRelease:
+			err = s.server.release(s, m)
+		default:
+			err = badMessageError{fmt.Sprintf("type: %q is not known", m.Type)}
+		}
+		if err == nil {
+			continue
+		}
+		code := codeBadMessage
+		switch {
+		case errors.Is(err, errConflict):
+			code = codeConflict
+		case errors.Is(err, errUnknownCall):
+			code = codeUnknownCall
+		default:
+			bad++
+		}
+		s.enqueue(message{Type: typeError, Call: truncate(m.Call), Code: code, Detail: err.Error()})
+		if bad >= maxBadMessages {
+			s.server.Log.Warn("call API: too many unreadable messages", "tenant", s.tenant)
+			return err
+		}
+	}
+}
+
+// truncate limits a text of a peer to maxID bytes.
+func truncate(id string) string { return id[:min(len(id), maxID)] }
+
+var (
+	errConflict    = errors.New("the id is known with other content")
+	errUnknownCall = errors.New("no such call")
+)
+
+// addSocket adds a socket and queues on it the ends that no socket has received. It returns
+// false if the server is closed.
+func (srv *Server) addSocket(s *socket) bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.closed {
+		return false
+	}
+	srv.connections.Add(1)
+	ts := srv.stateOf(s.tenant)
+	ts.sockets[s] = true
+	for _, c := range ts.calls {
+		if c.undelivered {
+			c.undelivered = false
+			s.enqueue(c.released)
+		}
+	}
+	return true
+}
+
+// stateOf returns the state of a tenant, and creates it if there is none; dropIfEmpty
+// removes it. srv.mu must be held for both.
+func (srv *Server) stateOf(tenant string) *tenantState {
+	if srv.tenants == nil {
+		srv.tenants = map[string]*tenantState{}
+	}
+	if srv.tenants[tenant] == nil {
+		srv.tenants[tenant] = &tenantState{calls: map[string]*call{}, sockets: map[*socket]bool{}}
+	}
+	return srv.tenants[tenant]
+}
+
+func (srv *Server) dropIfEmpty(tenant string) {
+	if ts := srv.tenants[tenant]; ts != nil && len(ts.calls) == 0 && len(ts.sockets) == 0 {
+		delete(srv.tenants, tenant)
+	}
+}
+
+// removeSocket removes a closed socket. Pending calls without another socket fail, which is
+// their final answer, and are hung up.
+func (srv *Server) removeSocket(s *socket) {
+	var abandoned []uint64
+	srv.mu.Lock()
+	ts := srv.stateOf(s.tenant)
+	delete(ts.sockets, s)
+	for _, c := range ts.calls {
+		if !c.watchers[s] {
+			continue
+		}
+		delete(c.watchers, s)
+		if c.state == pending && len(c.watchers) == 0 {
+			c.setFinalAnswer(message{Type: typeFailed, Reason: reasonConnectionClosed})
+			abandoned = append(abandoned, c.coreID)
+		}
+	}
+	srv.dropIfEmpty(s.tenant)
+	srv.mu.Unlock()
+	for _, id := range abandoned {
+		srv.Handler.HangUp(id)
+	}
+}
+
+// Disconnect closes a tenant's connections.
+func (srv *Server) Disconnect(tenant string) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if ts := srv.tenants[tenant]; ts != nil {
+		for s := range ts.sockets {
+			s.abort()
+		}
+	}
+}
+
+// Close closes every connection when its queue has been written, and waits for that for
+// up to closeTimeout. It ends established calls: after the exit no process could notify
+// their clients of their end.
+func (srv *Server) Close() {
+	srv.mu.Lock()
+	srv.closed = true
+	var hangUps []uint64
+	for _, ts := range srv.tenants {
+		for _, c := range ts.calls {
+			if c.state == established {
+				c.end(reasonCut)
+				hangUps = append(hangUps, c.coreID)
+			}
+		}
+		for s := range ts.sockets {
+			s.flushAndClose()
+		}
+	}
+	srv.mu.Unlock()
+	for _, id := range hangUps {
+		srv.Handler.HangUp(id)
+	}
+	timer := time.AfterFunc(closeTimeout, func() {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		for _, ts := range srv.tenants {
+			for s := range ts.sockets {
+				s.abort()
+			}
+		}
+	})
+	defer timer.Stop()
+	srv.connections.Wait()
+}
+
+// setUp handles a set-up. A repeated set-up joins the existing call: there is one call and
+// one answer, however often the set-up is sent.
+func (srv *Server) setUp(s *socket, m message, receivedAt time.Time) error {
+	req, timeout, err := srv.parseSetUp(m)
+	if err != nil {
+		return err
+	}
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	ts := srv.stateOf(s.tenant)
+	defer srv.dropIfEmpty(s.tenant)
+	if c := ts.calls[m.Call]; c != nil {
+		if c.request != req {
+			return errConflict
+		}
+		c.watchers[s] = true
+		if c.state != pending {
+			s.enqueue(c.answer)
+		}
+		if c.state == ended && c.released.Type != "" {
+			c.undelivered = false
+			s.enqueue(c.released)
+		}
+		return nil
+	}
+	c := &call{server: srv, key: callKey{s.tenant, m.Call}, coreID: rand.Uint64(), request: req, watchers: map[*socket]bool{s: true}}
+	if !srv.hasStorage(ts) {
+		s.enqueue(c.refusedMessage(reasonOverload, defaultRetryAfter))
+		return nil
+	}
+	ts.calls[m.Call] = c
+	c.addUsage(1, len(req.description)+maxDescription) // reserves the maximum for the answer's description
+	if retryAfter, err := srv.Tenants.BeginCall(s.tenant); err != nil {
+		reason := reasonQuota
+		if !errors.Is(err, tenant.ErrQuota) {
+			reason = reasonDisabled
+		}
+		c.setFinalAnswer(c.refusedMessage(reason, retryAfter))
+		return nil
+	}
+	c.counted = true
+	err = srv.Handler.Offer(&core.SetUp{ID: c.coreID, Class: srv.Classes[req.class].Index, ClassName: req.class, Tenant: s.tenant,
+		Number: req.number, Description: []byte(req.description), Dest: req.dest, Width: req.width, Deadline: receivedAt.Add(timeout)}, c)
+	if err != nil {
+		c.setFinalAnswer(c.refusedMessage(reasonOverload, defaultRetryAfter))
+	}
+	return nil
+}
+
+// hasStorage reports whether another call of a tenant can be stored. Each tenant has a
+// limit, so that none can use all the storage.
+func (srv *Server) hasStorage(ts *tenantState) bool {
+	return srv.stored.calls < srv.MaxStoredCalls && srv.stored.bytes < srv.MaxStoredBytes &&
+		ts.used.calls < max(1, srv.MaxStoredCalls/tenantStorageDivisor) && ts.used.bytes < srv.MaxStoredBytes/tenantStorageDivisor
+}
+
+// addUsage changes the stored usage of the call, of its tenant and of the server. The
+// arguments may be negative.
+func (c *call) addUsage(calls, bytes int) {
+	c.bytes += bytes
+	c.server.stored.add(calls, bytes)
+	c.server.stateOf(c.key.tenant).used.add(calls, bytes)
+}
+
+// parseSetUp validates a set-up and returns its content and its wait_ms. An error names the
+// invalid field.
+func (srv *Server) parseSetUp(m message) (req request, timeout time.Duration, err error) {
+	class, known := srv.Classes[m.Class]
+	b, err := m.decodeDescription()
+	timeout = time.Duration(m.WaitMs * float64(time.Millisecond))
+	problem := ""
+	switch {
+	case m.Call == "" || len(m.Call) > maxID:
+		problem = fmt.Sprintf("call: 1 to %d bytes are wanted", maxID)
+	case !known:
+		problem = fmt.Sprintf("class: %q is not known", truncate(m.Class))
+	case !core.IsValidNumber(m.Number):
+		problem = fmt.Sprintf("number: 1 to %d decimal or hexadecimal digits are wanted", core.MaxNumberDigits)
+	case m.Dest == nil || *m.Dest < 0 || *m.Dest >= srv.Destinations:
+		problem = "dest: a number of an exchange is wanted"
+	case m.Width < 0 || m.Width > maxWidth:
+		problem = fmt.Sprintf("width: a number from 1 to %d is wanted", maxWidth)
+	case !(m.WaitMs > 0) || timeout > maxWait:
+		problem = fmt.Sprintf("wait_ms: a time above 0 and up to %d is wanted", maxWait.Milliseconds())
+	case err != nil:
+		problem = err.Error()
+	}
+	if problem != "" {
+		return req, 0, badMessageError{problem}
+	}
+	if m.Width == 0 {
+		m.Width = max(1, class.Width)
+	}
+	return request{m.Class, m.Number, string(b), *m.Dest, m.Width}, timeout, nil
+}
+
+// release handles a client's release: it cancels a pending call and hangs up an
+// established one.
+func (srv *Server) release(s *socket, m message) error {
+	srv.mu.Lock()
+	c := srv.stateOf(s.tenant).calls[m.Call]
+	if c == nil {
+		srv.mu.Unlock()
+		return errUnknownCall
+	}
+	previous := c.state
+	switch previous {
+	case pending:
+		c.setFinalAnswer(message{Type: typeFailed, Reason: reasonGivenUp})
+	case established:
+		c.end(reasonCaller)
+	}
+	srv.mu.Unlock()
+	if previous != ended {
+		srv.Handler.HangUp(c.coreID)
+	}
+	return nil
+}
+
+func (c *call) refusedMessage(reason string, retryAfter time.Duration) message {
+	return message{Type: typeRefused, Call: c.key.id, Reason: reason, RetryAfterMs: retryAfter.Milliseconds()}
+}
+
+// setFinalAnswer stores the final answer of the call and queues it. It returns false if the
+// call already has one. server.mu must be held, as for end.
+func (c *call) setFinalAnswer(m message) bool {
+	if c.state != pending {
+		return false
+	}
+	m.Call = c.key.id
+	c.answer = m
+	c.addUsage(0, len(m.Description)+len(m.DescriptionB64)-maxDescription)
+	c.state = ended
+	if m.Type == typeAnswer {
+		c.state = established
+	} else {
+		c.scheduleRemoval()
+	}
+	for s := range c.watchers {
+		s.enqueue(m)
+	}
+	return true
+}
+
+// end ends an established call and notifies its sockets; if it has none, all sockets of the
+// tenant, or else the next one that connects.
+func (c *call) end(reason string) {
+	if c.state != established {
+		return
+	}
+	c.state = ended
+	c.released = message{Type: typeReleased, Call: c.key.id, Reason: reason}
+	recipients := c.watchers
+	if len(recipients) == 0 {
+		recipients = c.server.stateOf(c.key.tenant).sockets
+	}
+	for s := range recipients {
+		s.enqueue(c.released)
+	}
+	c.undelivered = len(recipients) == 0
+	c.scheduleRemoval()
+}
+
+// scheduleRemoval removes an ended call from the tenant's quota now, and from the storage
+// after AnswerRetention. server.mu must be held.
+func (c *call) scheduleRemoval() {
+	if c.counted {
+		c.server.Tenants.EndCall(c.key.tenant)
+	}
+	time.AfterFunc(c.server.AnswerRetention, func() {
+		c.server.mu.Lock()
+		defer c.server.mu.Unlock()
+		c.addUsage(-1, -c.bytes)
+		delete(c.server.stateOf(c.key.tenant).calls, c.key.id)
+		c.server.dropIfEmpty(c.key.tenant)
+	})
+}
+
+var errGivenUp = errors.New("the call was given up")
+
+// Answer implements core.Caller, as do Refuse, Fail and Release.
+func (c *call) Answer(_ uint64, description []byte) error {
+	m := message{Type: typeAnswer}
+	m.setDescription(description)
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if !c.setFinalAnswer(m) {
+		return errGivenUp // for example, its last connection has just closed
+	}
+	return nil
+}
+
+// Refuse refuses the call.
+func (c *call) Refuse(_ uint64, retryAfter time.Duration) {
+	c.conclude(c.refusedMessage(reasonNoRoute, retryAfter))
+}
+
+// Fail fails the call.
+func (c *call) Fail(uint64) { c.conclude(message{Type: typeFailed, Reason: reasonFault}) }
+
+func (c *call) conclude(m message) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.setFinalAnswer(m)
+}
+
+// Release ends an established call; cut means that it did not end normally.
+func (c *call) Release(_ uint64, cut bool) {
+	reason := reasonEnded
+	if cut {
+		reason = reasonCut
+	}
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.end(reason)
+}
--- a/internal/callapi/link.go
+++ b/internal/callapi/switchconn.go
@@ -17,16 +17,17 @@
 	"violetspan.example/violetspan/routing"
 )
 
-// switchConn is a connection to a switch that speaks the API; see trunk.Conn.
+// switchConn is a connection to a switch that speaks the API. It implements trunk.Conn.
 type switchConn struct {
 	conn   *websocket.Conn
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// Dial connects to a switch at a ws:// address.
+// Dial connects to a switch at a ws:// or wss:// address. It fails if the switch does not
+// support the subprotocol.
 func Dial(ctx context.Context, addr string) (trunk.Conn, error) {
-	// A transport of its own: nothing is pooled, and the connection's life is not the dial's.
+	// A separate transport: connections are not pooled, and ctx limits the dial only.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	c, _, err := websocket.Dial(ctx, addr, &websocket.DialOptions{HTTPClient: client, Subprotocols: []string{Protocol}})
 	if err != nil {
@@ -42,7 +43,7 @@
 	return s, nil
 }
 
-var notes = map[string]routing.Cause{
+var causeByReason = map[string]routing.Cause{
 	"":                 routing.CauseNone,
 	"no_circuit":       routing.CauseNoCircuit,
 	"turned_back":      routing.CauseTurnedBack,
@@ -51,9 +52,9 @@
 	"destination_full": routing.CauseDestinationFull,
 }
 
-// Read reads the next message. One that can't be read ends the connection:
-// what it spoke of is not known, and a reset is. So does one that no switch
-// sends, which may be a spoilt answer.
+// Read reads the next message. An unreadable message is an error and ends the connection:
+// the call that it belonged to is unknown, whereas a connection reset is handled. So is a
+// message that no switch sends, because it may be a corrupted answer.
 func (s *switchConn) Read() (trunk.Event, error) {
 	m, err := read(s.ctx, s.conn, trunk.MessageTimeout)
 	if err != nil {
@@ -67,19 +68,19 @@
 	if m.Type != typeGroup && m.Type != typeError {
 		b, err := hex.DecodeString(m.Call)
 		if err != nil || len(b) != 8 {
-			return ev, errBad{fmt.Sprintf("call: %q is no id of this proxy", clip(m.Call))}
+			return ev, badMessageError{fmt.Sprintf("call: %q is no id of this proxy", truncate(m.Call))}
 		}
 		ev.Call, _ = strconv.ParseUint(m.Call, 16, 64)
 	}
-	cause, known := notes[m.Reason]
+	cause, known := causeByReason[m.Reason]
 	if !known {
 		cause = routing.CauseNone
 	}
 	switch m.Type {
 	case typeAnswer:
 		ev.Kind = trunk.Answer
-		if ev.Description, err = m.described(); err != nil {
-			return ev, errBad{err.Error()}
+		if ev.Description, err = m.decodeDescription(); err != nil {
+			return ev, badMessageError{err.Error()}
 		}
 	case typeRefused:
 		ev.Kind, ev.End = trunk.End, core.Outcome{Result: routing.Refused, Cause: cause}
@@ -100,34 +101,34 @@
 	case typeError:
 		ev.Warning = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
 	default:
-		return ev, errBad{fmt.Sprintf("type: %q is no message of a switch", clip(m.Type))}
+		return ev, badMessageError{fmt.Sprintf("type: %q is no message of a switch", truncate(m.Type))}
 	}
 	return ev, nil
 }
 
-// SetUp sends a set-up.
-func (s *switchConn) SetUp(u *core.SetUp, until time.Time) error {
-	m := message{Type: typeSetUp, Call: callID(u.ID), Class: u.ClassName, Number: u.Number, Dest: &u.Dest, Width: u.Width,
-		WaitMs: float64(max(1, time.Until(until).Milliseconds()))}
-	m.describe(u.Description)
+// SetUp sends a set-up; the time until the deadline is its wait_ms, at least 1.
+func (s *switchConn) SetUp(setUp *core.SetUp, deadline time.Time) error {
+	m := message{Type: typeSetUp, Call: callID(setUp.ID), Class: setUp.ClassName, Number: setUp.Number, Dest: &setUp.Dest, Width: setUp.Width,
+		WaitMs: float64(max(1, time.Until(deadline).Milliseconds()))}
+	m.setDescription(setUp.Description)
 	return s.send(m)
 }
 
-// Release says that a set-up is given up or a call is over.
+// Release cancels a set-up or ends a call.
 func (s *switchConn) Release(id uint64) error {
 	return s.send(message{Type: typeRelease, Call: callID(id)})
 }
 
-// AcknowledgeRelease says nothing: the API has no acknowledgement of ends.
+// AcknowledgeRelease does nothing: the API has no acknowledgement of releases.
 func (s *switchConn) AcknowledgeRelease(uint64) error { return nil }
 
-// ReplyToTest says nothing: WebSocket has pings of its own.
+// ReplyToTest does nothing: the API uses WebSocket pings.
 func (s *switchConn) ReplyToTest(uint64) error { return nil }
 
-// Ping asks for a sign of life, which Read takes in.
+// Ping sends a WebSocket ping and waits for the pong, which Read must receive.
 func (s *switchConn) Ping(ctx context.Context) error { return s.conn.Ping(ctx) }
 
-// Close ends the connection at once.
+// Close closes the connection without a close handshake.
 func (s *switchConn) Close() error {
 	s.cancel()
 	return s.conn.CloseNow()
@@ -135,4 +136,5 @@
 
 func (s *switchConn) send(m message) error { return write(s.ctx, s.conn, m, trunk.WriteTimeout) }
 
+// callID formats a call's ID for messages to switches.
 func callID(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -309,7 +309,7 @@
 
 	if sv := p.service; sv != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
+		p.api = &callapi.Server{Handler: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: sv.KeepAnswers,
 			MaxStoredCalls: sv.MaxKept, MaxStoredBytes: maxKeptBytes, Destinations: maxPools, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.Bounds()
