--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -57,7 +57,7 @@
 func Load(paths ...string) (*Inventory, error) {
 	r := newReader()
 	for _, path := range paths {
-		b, err := strict.Read(path, maxFileBytes)
+		b, err := strict.ReadFile(path, maxFileBytes)
 		if err != nil {
 			return nil, fmt.Errorf("inventory: %w", err)
 		}
@@ -171,7 +171,7 @@
 }
 
 func (r *reader) keyError(line int, key, why string) error {
-	return strict.Bad(r.file, line, key, why)
+	return strict.KeyError(r.file, line, key, why)
 }
 
 // value is the text of a key and its line.
@@ -457,7 +457,7 @@
 	if err != nil {
 		return err
 	}
-	return strict.Each(r.file, "children", children, func(group string, line int, g *yaml.Node) error {
+	return strict.ForEachEntry(r.file, "children", children, func(group string, line int, g *yaml.Node) error {
 		kind, ok := kindByGroup[group]
 		if !ok {
 			r.addKeyError(line, group, "none of switches, tenants, groups, classes and demands")
@@ -467,11 +467,11 @@
 	})
 }
 
-// readGroup reads the hosts of one readGroup.
+// readGroup reads the hosts of one group.
 func (r *reader) readGroup(kind, group string, g *yaml.Node) error {
 	defaults := map[string]value{}
 	var hosts *yaml.Node
-	err := strict.Each(r.file, group, g, func(key string, line int, n *yaml.Node) (err error) {
+	err := strict.ForEachEntry(r.file, group, g, func(key string, line int, n *yaml.Node) (err error) {
 		switch key {
 		case "vars":
 			defaults, err = r.readVars(n, "vars", nil)
@@ -485,7 +485,7 @@
 	if err != nil {
 		return err
 	}
-	return strict.Each(r.file, "hosts", hosts, func(id string, line int, n *yaml.Node) error {
+	return strict.ForEachEntry(r.file, "hosts", hosts, func(id string, line int, n *yaml.Node) error {
 		values, err := r.readVars(n, id, defaults)
 		if err != nil {
 			r.addError(line, err)
@@ -501,7 +501,7 @@
 	for key, v := range defaults {
 		values[key] = v
 	}
-	err := strict.Each(r.file, name, n, func(key string, line int, v *yaml.Node) error {
+	err := strict.ForEachEntry(r.file, name, n, func(key string, line int, v *yaml.Node) error {
 		if v.Kind != yaml.ScalarNode {
 			return r.keyError(line, key, "one value is wanted")
 		}
@@ -513,7 +513,7 @@
 
 // onlyKey returns the value of the only key that a mapping may have.
 func (r *reader) onlyKey(n *yaml.Node, name, want string) (found *yaml.Node, err error) {
-	err = strict.Each(r.file, name, n, func(key string, line int, v *yaml.Node) error {
+	err = strict.ForEachEntry(r.file, name, n, func(key string, line int, v *yaml.Node) error {
 		if key != want {
 			return r.keyError(line, key, "not known here; "+want+" is")
 		}
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -15,8 +15,8 @@
 // At most one of ProcessorFull to DuplicateAnswer applies to a set-up; if none of ProcessorFull to
 // Malformed does, the set-up is answered.
 type FaultRates struct {
-	ProcessorFull   float64 // refuses the set-up with the note queue_long
-	Failure         float64 // refuses the set-up with CauseResource
+	ProcessorFull   float64 // refuses the set-up with the cause detail queue_long
+	Failure         float64 // refuses the set-up with CauseResourceUnavailable
 	NoAnswer        float64 // never answers the set-up
 	ConnReset       float64 // resets the connection of the set-up
 	Malformed       float64 // replies with bytes that are no valid message
@@ -346,10 +346,10 @@
 	return true
 }
 
-func (p *switchPort) refuse(c *PortConn, id uint64, cause byte, note string) {
+func (p *switchPort) refuse(c *PortConn, id uint64, cause byte, detail string) {
 	if p.endAttempt(id, false) {
 		m := sig.WithCause(sig.Release, id, cause)
-		m.Params = append(m.Params, sig.Param{Code: sig.ParamCauseDetail, Value: []byte(note)})
+		m.Params = append(m.Params, sig.Param{Code: sig.ParamCauseDetail, Value: []byte(detail)})
 		p.send(c, m)
 	}
 }
