--- a/internal/callapi/message.go
+++ b/internal/callapi/message.go
@@ -78,8 +78,8 @@
 	reasonOverload         = "overload"          // the proxy can't accept another call
 	reasonQuota            = "quota"             // the tenant's quota is used up
 	reasonDisabled         = "disabled"          // the tenant is disabled
-	reasonConnectionClosed = "connection_closed" // its last connection closed before the final answer
-	reasonGivenUp          = "given_up"          // the client released it before the final answer
+	reasonConnectionClosed = "connection_closed" // the client's connections closed before the final answer
+	reasonGivenUp          = "given_up"          // the client released the call before the final answer
 	reasonEnded            = "ended"             // the call ended normally
 	reasonCut              = "cut"               // the call was cut
 	reasonCaller           = "caller"            // the client hung up
--- a/internal/callapi/server.go
+++ b/internal/callapi/server.go
@@ -38,7 +38,7 @@
 	Classes         map[string]Class
 	Log             *slog.Logger
 	AnswerRetention time.Duration // how long a call is stored after its end, for clients that reconnect
-	MaxStoredCalls  int           // limit on stored calls, ended ones included
+	MaxStoredCalls  int           // limit on stored calls of all tenants, ended ones included
 	MaxStoredBytes  int           // limit on the descriptions of stored calls, in bytes
 	Destinations    int           // number of destinations; the highest dest is one less
 
@@ -95,7 +95,7 @@
 	state       state
 	bytes       int              // counted in the stored usage
 	counted     bool             // counted in the tenant's quota
-	watchers    map[*socket]bool // the open sockets that have sent its set-up
+	watchers    map[*socket]bool // open sockets that have sent its set-up
 	answer      message          // the final answer, unless pending
 	released    message          // its end, if it was established
 	undelivered bool             // released has not been queued on any socket
@@ -545,6 +545,7 @@
 	})
 }
 
+// errGivenUp tells the core that the answer can't be delivered.
 var errGivenUp = errors.New("the call was given up")
 
 // Answer implements core.Caller, as do Refuse, Fail and Release.
@@ -559,21 +560,22 @@
 	return nil
 }
 
-// Refuse refuses the call.
+// Refuse ends a pending call with the reason no_route.
 func (c *call) Refuse(_ uint64, retryAfter time.Duration) {
 	c.conclude(c.refusedMessage(reasonNoRoute, retryAfter))
 }
 
-// Fail fails the call.
+// Fail ends a pending call with the reason fault.
 func (c *call) Fail(uint64) { c.conclude(message{Type: typeFailed, Reason: reasonFault}) }
 
+// conclude locks the server and sets the final answer.
 func (c *call) conclude(m message) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.setFinalAnswer(m)
 }
 
-// Release ends an established call; cut means that it did not end normally.
+// Release ends an established call with the reason cut or ended.
 func (c *call) Release(_ uint64, cut bool) {
 	reason := reasonEnded
 	if cut {
--- a/internal/callapi/server_test.go
+++ b/internal/callapi/server_test.go
@@ -24,14 +24,14 @@
 	hungUp  *atomic.Int32
 }
 
-func (o fakeCore) Offer(_ *core.SetUp, from core.Caller) error { o.offered <- from; return nil }
-func (o fakeCore) HangUp(uint64)                               { o.hungUp.Add(1) }
+func (f fakeCore) Offer(_ *core.SetUp, from core.Caller) error { f.offered <- from; return nil }
+func (f fakeCore) HangUp(uint64)                               { f.hungUp.Add(1) }
 
 // newTestServer starts a server with the tenants "acme" and "other", whose tokens are
 // their IDs followed by "-token".
-func newTestServer(t *testing.T, maxStored int) (srv *Server, o fakeCore, dial func(tenant string) *websocket.Conn) {
-	o = fakeCore{make(chan core.Caller, 1000), new(atomic.Int32)}
-	srv = &Server{Handler: o, Tenants: tenant.New(time.Now), Classes: map[string]Class{"space-check": {Width: 1}},
+func newTestServer(t *testing.T, maxStored int) (srv *Server, fake fakeCore, dial func(tenant string) *websocket.Conn) {
+	fake = fakeCore{make(chan core.Caller, 1000), new(atomic.Int32)}
+	srv = &Server{Handler: fake, Tenants: tenant.New(time.Now), Classes: map[string]Class{"space-check": {Width: 1}},
 		Log: slog.New(slog.DiscardHandler), AnswerRetention: time.Minute, MaxStoredCalls: maxStored, MaxStoredBytes: 32 << 20, Destinations: 4}
 	for _, id := range []string{"acme", "other"} {
 		if err := srv.Tenants.Create(tenant.Spec{ID: id, TokenSHA256: tenant.HashToken(id + "-token")}, "test"); err != nil {
@@ -40,7 +40,7 @@
 	}
 	httpServer := httptest.NewServer(srv)
 	t.Cleanup(httpServer.Close)
-	return srv, o, func(id string) *websocket.Conn {
+	return srv, fake, func(id string) *websocket.Conn {
 		c, _, err := websocket.Dial(t.Context(), "ws"+strings.TrimPrefix(httpServer.URL, "http"), &websocket.DialOptions{
 			Subprotocols: []string{Protocol}, HTTPHeader: http.Header{"Authorization": {"Bearer " + id + "-token"}}})
 		if err != nil {
@@ -64,13 +64,13 @@
 // pending ones, and the connection was closed before they were written. Also guards
 // against established calls that never end because no process is left to release them.
 func TestCloseWritesWhatIsQueued(t *testing.T) {
-	srv, o, dial := newTestServer(t, 1000)
+	srv, fake, dial := newTestServer(t, 1000)
 	c := dial("acme")
 	const calls = 100 // their answers and ends fit into the queue
 	var offered []core.Caller
 	for n := range calls {
 		sendSetUp(t, c, n)
-		offered = append(offered, <-o.offered)
+		offered = append(offered, <-fake.offered)
 	}
 	for _, call := range offered {
 		if err := call.Answer(0, []byte("made")); err != nil {
@@ -98,16 +98,16 @@
 		t.Errorf("ended with %v, want a close that says 'going away'", err)
 	}
 	<-closed
-	if hungUp := o.hungUp.Load(); hungUp != calls {
+	if hungUp := fake.hungUp.Load(); hungUp != calls {
 		t.Errorf("%d calls hung up towards their switches, want %d", hungUp, calls)
 	}
 }
 
 // Guards against an exit that hangs on a client that reads nothing.
 func TestCloseDoesNotWaitForASlowClient(t *testing.T) {
-	srv, o, dial := newTestServer(t, 1000)
+	srv, fake, dial := newTestServer(t, 1000)
 	sendSetUp(t, dial("acme"), 1)
-	if err := (<-o.offered).Answer(0, []byte(strings.Repeat("x", maxDescription))); err != nil {
+	if err := (<-fake.offered).Answer(0, []byte(strings.Repeat("x", maxDescription))); err != nil {
 		t.Fatal(err)
 	}
 	srv.Close() // the client reads neither the answer nor the close
@@ -116,7 +116,7 @@
 // Guards against a tenant that fills the storage with new call IDs until the calls of other
 // tenants are refused.
 func TestOneTenantCantTakeTheRoomOfAll(t *testing.T) {
-	_, o, dial := newTestServer(t, 2*tenantStorageDivisor)
+	_, fake, dial := newTestServer(t, 2*tenantStorageDivisor)
 	c := dial("acme")
 	for n := range 10 {
 		sendSetUp(t, c, n)
@@ -127,15 +127,15 @@
 			t.Fatalf("refusal %d: %+v, %v", n, m, err)
 		}
 	}
-	if len(o.offered) != 2 {
-		t.Errorf("%d calls of a tenant offered, want its limit of 2", len(o.offered))
+	if len(fake.offered) != 2 {
+		t.Errorf("%d calls of a tenant offered, want its limit of 2", len(fake.offered))
 	}
 	sendSetUp(t, dial("other"), 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	for n := range 3 {
 		select {
-		case <-o.offered:
+		case <-fake.offered:
 		case <-ctx.Done():
 			t.Fatalf("%d calls offered, want the other tenant's too", n)
 		}
@@ -145,7 +145,7 @@
 // Guards against stored answers that use all memory: their size in bytes is limited, and
 // all of it is released when the calls are removed.
 func TestWhatIsKeptIsCountedInBytes(t *testing.T) {
-	srv, o, dial := newTestServer(t, 1000)
+	srv, fake, dial := newTestServer(t, 1000)
 	srv.AnswerRetention = time.Nanosecond
 	c := dial("acme")
 	stored := func() usage {
@@ -155,7 +155,7 @@
 	}
 	for n := range 3 {
 		sendSetUp(t, c, n)
-		call := <-o.offered
+		call := <-fake.offered
 		if got, want := stored(), (usage{1, maxDescription}); got != want {
 			t.Errorf("stored %+v while the answer is pending, want %+v", got, want)
 		}
--- a/internal/callapi/switchconn.go
+++ b/internal/callapi/switchconn.go
@@ -52,9 +52,9 @@
 	"destination_full": routing.CauseDestinationFull,
 }
 
-// Read reads the next message. An unreadable message is an error and ends the connection:
-// the call that it belonged to is unknown, whereas a connection reset is handled. So is a
-// message that no switch sends, because it may be a corrupted answer.
+// Read reads the next message. An unreadable message is an error, which ends the connection:
+// it may concern any call, whereas the effect of a reset on the calls is known. A message
+// that no switch sends is an error, too: it may be a corrupted answer.
 func (s *switchConn) Read() (trunk.Event, error) {
 	m, err := read(s.ctx, s.conn, trunk.MessageTimeout)
 	if err != nil {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,6 +1,7 @@
 // Package inventory reads the inventory of a hosted service, its switches, trunk
 // groups, classes, tenants and planned demand, from CSV or YAML as configuration
-// tools write it. Unknown keys and values are errors, which name file, line and key. docs/callapi.md and docs/plan.md list the keys.
+// tools write it. Unknown keys and values are errors, which name file, line and key.
+// docs/callapi.md and docs/plan.md list the keys.
 package inventory
 
 import (
@@ -47,7 +48,7 @@
 	return fmt.Sprintf("%v (and %d more)", e[0], len(e)-1)
 }
 
-// Unwrap returns the single errors.
+// Unwrap returns the individual errors.
 func (e Errors) Unwrap() []error { return e }
 
 const maxFileBytes = 8 << 20
@@ -147,7 +148,9 @@
 }
 
 // addKeyError records an error for a key; reading continues.
-func (r *reader) addKeyError(line int, key, why string) { r.addError(line, r.keyError(line, key, why)) }
+func (r *reader) addKeyError(line int, key, reason string) {
+	r.addError(line, r.keyError(line, key, reason))
+}
 
 // reader builds an inventory from the entries of CSV and YAML files.
 type reader struct {
@@ -170,8 +173,8 @@
 	position
 }
 
-func (r *reader) keyError(line int, key, why string) error {
-	return strict.KeyError(r.file, line, key, why)
+func (r *reader) keyError(line int, key, reason string) error {
+	return strict.KeyError(r.file, line, key, reason)
 }
 
 // value is the text of a key and its line.
@@ -319,21 +322,21 @@
 }
 
 func (r *reader) addTenant(e entry) error {
-	s := tenant.Spec{ID: e.id}
+	spec := tenant.Spec{ID: e.id}
 	text, line := e.lookup("status")
 	switch text {
 	case "", "active":
 	case "disabled":
-		s.Disabled = true
+		spec.Disabled = true
 	default:
 		return r.keyError(line, "status", fmt.Sprintf("%q is neither active nor disabled", text))
 	}
-	s.TokenSHA256, _ = e.lookup("token_sha256")
+	spec.TokenSHA256, _ = e.lookup("token_sha256")
 	var err error
 	for _, limit := range []struct {
 		key string
 		to  *int
-	}{{"max_calls", &s.MaxCalls}, {"max_sockets", &s.MaxSockets}} {
+	}{{"max_calls", &spec.MaxCalls}, {"max_sockets", &spec.MaxSockets}} {
 		if text, line := e.lookup(limit.key); text != "" {
 			if *limit.to, err = strconv.Atoi(text); err != nil {
 				return r.keyError(line, limit.key, fmt.Sprintf("%q is not a whole number", text))
@@ -341,30 +344,30 @@
 		}
 	}
 	if text, line := e.lookup("calls_per_second"); text != "" {
-		if s.CallsPerSecond, err = strconv.ParseFloat(text, 64); err != nil {
+		if spec.CallsPerSecond, err = strconv.ParseFloat(text, 64); err != nil {
 			return r.keyError(line, "calls_per_second", fmt.Sprintf("%q is not a number", text))
 		}
 	}
-	if err := s.Check(); err != nil { // the error starts with the key
-		key, why, _ := strings.Cut(err.Error(), ": ")
+	if err := spec.Check(); err != nil { // the error starts with the key
+		key, reason, _ := strings.Cut(err.Error(), ": ")
 		if key == "id" {
 			key = "name"
 		}
 		_, line := e.lookup(key)
-		return r.keyError(line, key, why)
+		return r.keyError(line, key, reason)
 	}
-	if other, found := r.tenantByToken[s.TokenSHA256]; found {
+	if other, found := r.tenantByToken[spec.TokenSHA256]; found {
 		_, line := e.lookup("token_sha256")
 		return r.keyError(line, "token_sha256", fmt.Sprintf("tenant %q has it already", other))
 	}
-	r.tenantByToken[s.TokenSHA256] = e.id
+	r.tenantByToken[spec.TokenSHA256] = e.id
 	share := plan.Tenant{ID: e.id, Share: r.readNumber(e, "share", 1)}
 	if share.Share > 1 {
 		_, line := e.lookup("share")
 		r.addKeyError(line, "share", "more than 1")
 	}
 	r.inv.Plan.Tenants = append(r.inv.Plan.Tenants, share)
-	r.inv.Tenants = append(r.inv.Tenants, s)
+	r.inv.Tenants = append(r.inv.Tenants, spec)
 	return nil
 }
 
--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -77,7 +77,7 @@
 		return
 	}
 	group := plan.Group{A: min(a, b), B: max(a, b), Circuits: r.readCount(e, "circuits", 0), Cost: r.readNumber(e, "cost", 0)}
-	_, sizeLine := e.lookup("circuits")
+	_, circuitsLine := e.lookup("circuits")
 	_, costLine := e.lookup("cost")
 	pair := [2]string{group.A, group.B}
 	end := 0
@@ -87,13 +87,13 @@
 	listed := r.groups[pair]
 	switch {
 	case listed == nil:
-		listed = &groupEntry{group: group, position: position{r.file, e.line}, circuitsAt: position{r.file, sizeLine}}
+		listed = &groupEntry{group: group, position: position{r.file, e.line}, circuitsAt: position{r.file, circuitsLine}}
 		r.groups[pair] = listed
 	case firstKey == "a" || listed.listedBy[0] && listed.listedBy[1] || listed.listedBy[end]:
 		r.addKeyError(line, secondKey, fmt.Sprintf("the group of %s and %s stands %s already", group.A, group.B, listed.relativeTo(r.file)))
 		return
 	case listed.group.Circuits != group.Circuits:
-		r.addKeyError(sizeLine, "circuits", fmt.Sprintf("%d, but the other end has %d %s", group.Circuits, listed.group.Circuits, listed.circuitsAt.relativeTo(r.file)))
+		r.addKeyError(circuitsLine, "circuits", fmt.Sprintf("%d, but the other end has %d %s", group.Circuits, listed.group.Circuits, listed.circuitsAt.relativeTo(r.file)))
 	case listed.group.Cost != group.Cost:
 		r.addKeyError(costLine, "cost", fmt.Sprintf("%g, but the other end has %g %s", group.Cost, listed.group.Cost, listed.relativeTo(r.file)))
 	}
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -52,9 +52,9 @@
 )
 
 const (
-	defaultSockets = 64
-	maxTenants     = 10000
-	tokenBytes     = 32
+	defaultMaxSockets = 64
+	maxTenants        = 10000
+	tokenBytes        = 32
 )
 
 // record is one tenant. A token bucket that holds one second's calls, but at least
@@ -289,7 +289,7 @@
 	}
 	limit := t.MaxSockets
 	if limit == 0 {
-		limit = defaultSockets
+		limit = defaultMaxSockets
 	}
 	if t.sockets >= limit {
 		return ErrQuota
@@ -307,9 +307,9 @@
 	}
 }
 
-// BeginCall counts a new call of a tenant. If the tenant may not make it, BeginCall
-// returns ErrUnknown, ErrDisabled or ErrQuota, and after how long to retry; 0 if that is
-// not known.
+// BeginCall counts a new call of a tenant. It returns ErrUnknown, ErrDisabled or ErrQuota
+// if the call is not allowed; retryAfter is then the time until a retry can succeed, or 0
+// if that is not known.
 func (r *Registry) BeginCall(id string) (retryAfter time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
