--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -7,7 +7,7 @@
 import (
 	"bytes"
 	"cmp"
-	readCSV "encoding/csv"
+	"encoding/csv"
 	"errors"
 	"fmt"
 	"io"
@@ -90,7 +90,7 @@
 	var err error
 	switch filepath.Ext(name) {
 	case ".csv":
-		err = r.csv(b)
+		err = r.readCSV(b)
 	case ".yaml", ".yml":
 		err = r.readYAML(b)
 	default:
@@ -373,8 +373,8 @@
 
 // readCSV reads a table with a header line. The columns kind and name are required;
 // the others are keys. An empty cell leaves its key out.
-func (r *reader) csv(b []byte) error {
-	table := readCSV.NewReader(bytes.NewReader(bytes.TrimPrefix(b, []byte("\xef\xbb\xbf"))))
+func (r *reader) readCSV(b []byte) error {
+	table := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(b, []byte("\xef\xbb\xbf"))))
 	table.Comment = '#'
 	table.TrimLeadingSpace = true
 	var header []string
@@ -383,10 +383,10 @@
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		var parseErr *readCSV.ParseError
+		var parseErr *csv.ParseError
 		if errors.As(err, &parseErr) {
 			r.addKeyError(parseErr.Line, "row", parseErr.Err.Error())
-			if errors.Is(parseErr.Err, readCSV.ErrFieldCount) {
+			if errors.Is(parseErr.Err, csv.ErrFieldCount) {
 				continue // the other rows can be read
 			}
 			return nil
