--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -315,7 +315,7 @@
 
 	if serviceConfig := p.service; serviceConfig != nil {
 		p.tenants = tenant.New(time.Now)
-		p.api = &callapi.Server{Calls: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: serviceConfig.AnswerRetention,
+		p.api = &callapi.Server{Handler: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: serviceConfig.AnswerRetention,
 			MaxStoredCalls: serviceConfig.MaxStoredCalls, MaxStoredBytes: maxStoredBytes, Destinations: maxDestinations, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
 			b := p.platform.ResourceLimits()
