--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -172,7 +172,7 @@
 	network.expect(t, network.toSwitches, "a set-up")
 	handlerOf(t, c, "a").Answered(1, nil)
 	network.expect(t, network.toCaller, "answer ")
-	c.ApplyList(SwitchList{Source: "test", Full: true, Graceful: true})
+	c.ApplyList(SwitchList{Source: "test", Complete: true, Graceful: true})
 	offer(t, c, network, 2, 1)
 	network.expect(t, network.toCaller, "refused")
 	handlerOf(t, c, "a").Ended(1, Outcome{Result: routing.Ended})
--- a/internal/core/switches.go
+++ b/internal/core/switches.go
@@ -11,7 +11,7 @@
 // SwitchList is the list of switches of one source, or changes to it.
 type SwitchList struct {
 	Source   string
-	Full     bool // Switches is the whole list of the source: switches missing from it are removed
+	Complete bool // Switches is the whole list of the source: switches missing from it are removed
 	Switches []Switch
 	// Graceful means that a removed switch may still run, and that its established calls go
 	// on. Otherwise its process is gone, and its calls have ended.
@@ -24,7 +24,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entries := list.Switches
-	if list.Full {
+	if list.Complete {
 		present := map[string]bool{}
 		for _, entry := range entries {
 			present[entry.ID] = true
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -117,7 +117,7 @@
 		if cmd.Nodes == nil {
 			continue // a command of another type
 		}
-		list := core.SwitchList{Source: "channel", Full: cmd.Nodes.Complete}
+		list := core.SwitchList{Source: "channel", Complete: cmd.Nodes.Complete}
 		for _, entry := range cmd.Nodes.Members {
 			state, ok := statesByPhase[entry.Phase]
 			if !ok || entry.ID == "" {
@@ -140,7 +140,7 @@
 		if event.cursor > 0 && event.cursor <= c.cursor {
 			continue
 		}
-		c.Log.Info("list of switches", "event", event.cursor, "complete", event.list.Full, "switches", len(event.list.Switches))
+		c.Log.Info("list of switches", "event", event.cursor, "complete", event.list.Complete, "switches", len(event.list.Switches))
 		c.OnSwitchList(event.list)
 		c.cursor = max(c.cursor, event.cursor)
 	}
--- a/internal/platform/rules.go
+++ b/internal/platform/rules.go
@@ -15,9 +15,9 @@
 // breaks them, because a switch closes its connection, with all calls on it, if it cannot parse
 // a message.
 type SetUpRules struct {
-	Classes   map[string]Class // by name
-	Tenants   map[string]bool  // nil: any
-	DestCount int              // destinations are numbered from 0 to DestCount-1
+	Classes      map[string]Class // by name
+	Tenants      map[string]bool  // nil: any
+	Destinations int              // destinations are numbered from 0 to Destinations-1
 }
 
 // Class holds the rules for the set-ups of a class.
@@ -81,7 +81,7 @@
 	switch {
 	case setUp.Dest < 0:
 		return nil, errNoDest
-	case setUp.Dest >= r.DestCount:
+	case setUp.Dest >= r.Destinations:
 		return nil, fmt.Errorf("unknown destination %d", setUp.Dest)
 	case setUp.Width == -1:
 		setUp.Width = max(1, class.Width)
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -23,7 +23,7 @@
 	"violetspan.example/violetspan/internal/sig"
 )
 
-var testRules = SetUpRules{Classes: map[string]Class{"space-check": {Width: 1, MaxWait: time.Hour}}, DestCount: 3}
+var testRules = SetUpRules{Classes: map[string]Class{"space-check": {Width: 1, MaxWait: time.Hour}}, Destinations: 3}
 
 // offerRecorder is a CallHandler that records the caller of each set-up. Its capacity must cover
 // all set-ups of a test.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -387,7 +387,7 @@
 
 // setUpRules returns the rules for the platform's set-ups from the settings.
 func setUpRules(settings *config.Settings) platform.SetUpRules {
-	rules := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: settings.Tenants, DestCount: destinationCount(settings)}
+	rules := platform.SetUpRules{Classes: map[string]platform.Class{}, Tenants: settings.Tenants, Destinations: destinationCount(settings)}
 	for name, i := range settings.Classes {
 		class := platform.Class{Index: i, MaxWait: settings.Routing.Classes[i].Deadline}
 		if settings.HasWidths {
@@ -477,7 +477,7 @@
 		return fmt.Errorf("%s: %w", p.service.Inventory, err)
 	}
 	p.cert.Store(cert)
-	p.core.ApplyList(core.SwitchList{Source: "inventory", Full: true, Switches: inv.Switches, Graceful: true})
+	p.core.ApplyList(core.SwitchList{Source: "inventory", Complete: true, Switches: inv.Switches, Graceful: true})
 	if p.planner != nil {
 		switchIDs := map[int]string{}
 		for _, sw := range inv.Switches {
