--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -15,7 +15,7 @@
 	name    string // the controller's name of the call: its ID in hexadecimal
 	caller  Caller
 	ctx     context.Context // ends when the caller withdraws or hangs up
-	leave   context.CancelFunc
+	cancel  context.CancelFunc
 	actions chan routing.Action // decisions of the controller
 	replies chan switchReply    // answers and releases of its switch
 
@@ -27,7 +27,7 @@
 	answered         bool          // lastSwitch answered
 	establishedAt    time.Time     // time of that answer
 	finalAnswerGiven bool
-	handedOver       bool // Close ended the goroutine, while the caller had not left
+	handedOver       bool // Close cancelled ctx; the caller had not left
 
 	// Used by the call's goroutine only:
 	sendCount int       // attempts so far; the current one is sendCount-1
@@ -45,7 +45,7 @@
 func newCall(c *Core, setUp *SetUp, caller Caller) *callState {
 	call := &callState{SetUp: setUp, name: fmt.Sprintf("%016x", setUp.ID), caller: caller,
 		actions: make(chan routing.Action, 8), replies: make(chan switchReply, 4), done: make(chan struct{})}
-	call.ctx, call.leave = context.WithCancel(c.ctx)
+	call.ctx, call.cancel = context.WithCancel(c.ctx)
 	return call
 }
 
@@ -64,7 +64,7 @@
 // caller exactly one final answer.
 func (c *Core) serve(call *callState) {
 	defer c.removeCall(call)
-	defer call.leave()
+	defer call.cancel()
 
 	// The final answer must be sent before the caller gives up, so the controller gets a
 	// slightly earlier deadline.
@@ -217,10 +217,10 @@
 	}
 }
 
-// withdraw tells the controller that the caller of a call without an outstanding attempt has
-// left, or that the call fails. A Send that the controller has already queued is reported as
-// not sent: it would otherwise count as outstanding forever, and after a few such calls the
-// controller would send nothing more to that switch.
+// withdraw notifies the controller that the caller of a call without an outstanding attempt
+// has left, or that the core fails the call. A Send that the controller has already queued is
+// reported as not sent: it would otherwise count as outstanding forever, and after a few such
+// calls the controller would send nothing more to that switch.
 func (c *Core) withdraw(call *callState) {
 	c.handleEvent(routing.Withdrawn{Call: call.name})
 	for len(call.actions) > 0 {
@@ -242,10 +242,10 @@
 	endedByShutdown
 )
 
-// awaitReply waits for the switch's reply to a set-up until the given time. It stops earlier if
+// awaitReply waits for the switch's reply to a set-up until the deadline. It stops earlier if
 // the caller leaves, the controller cancels the attempt or the proxy is about to exit.
-func (c *Core) awaitReply(call *callState, until time.Time) (switchReply, waitEnd) {
-	timeout := time.NewTimer(time.Until(until))
+func (c *Core) awaitReply(call *callState, deadline time.Time) (switchReply, waitEnd) {
+	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
 	var endedBy waitEnd
 wait:
@@ -331,10 +331,10 @@
 		c.log.Warn("set-up held back", "call", call.name, "switch", send.Host, "why", err)
 		return nil, ErrNotSent
 	}
-	until := time.Now().Add(send.Timeout)
-	ctx, cancel := context.WithDeadline(call.ctx, until)
+	deadline := time.Now().Add(send.Timeout)
+	ctx, cancel := context.WithDeadline(call.ctx, deadline)
 	defer cancel()
-	err = sw.link.SetUp(ctx, call.SetUp, until, func() bool { return ctx.Err() == nil && c.acceptsSetUps(sw) })
+	err = sw.link.SetUp(ctx, call.SetUp, deadline, func() bool { return ctx.Err() == nil && c.acceptsSetUps(sw) })
 	return sw.link, err
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,7 +30,7 @@
 	Description []byte    // forwarded unchanged
 	Dest        int       // exchange or pool
 	Width       int       // circuits on each trunk group
-	Transit     bool      // forwarded by another proxy: only its last leg is open
+	Transit     bool      // forwarded by another proxy: it may only go to its destination
 	AfterCut    bool      // a new set-up of an established call that was cut
 	Deadline    time.Time // when the caller gives up
 }
@@ -69,10 +69,11 @@
 
 // Link sends set-ups and releases to one listed switch.
 type Link interface {
-	// SetUp writes a set-up. It calls maySend just before the first byte, and sends nothing
-	// if that returns false. It waits for a connection until the context ends. The error is
-	// ErrNotReached or ErrNotSent if the set-up certainly did not arrive.
-	SetUp(ctx context.Context, setUp *SetUp, until time.Time, maySend func() bool) error
+	// SetUp writes a set-up that the switch must answer by the deadline. It waits for a
+	// connection until the context ends. It calls maySend just before the first byte, and
+	// sends nothing if that returns false. The error is ErrNotReached or ErrNotSent if the
+	// set-up certainly did not arrive.
+	SetUp(ctx context.Context, setUp *SetUp, deadline time.Time, maySend func() bool) error
 	// CancelSetUp withdraws a set-up that is not answered yet.
 	CancelSetUp(id uint64)
 	// Release ends an established call.
@@ -85,8 +86,8 @@
 	ProbeFailing() bool
 	// SetDraining sets whether the switch is draining according to the list.
 	SetDraining(draining bool)
-	// StopDialing is called when the switch is gone: the link opens no more connections to
-	// its address.
+	// StopDialing makes the link open no more connections to the switch's address. It is
+	// called when the switch is removed from the list and its process no longer runs.
 	StopDialing()
 	// Close closes the link and waits for its goroutines.
 	Close()
@@ -125,7 +126,7 @@
 	// OnUnknownRelease is called when a switch releases a call that this core does not know:
 	// it was established through this proxy before a restart, and its caller must be notified.
 	OnUnknownRelease func(id uint64, cut bool)
-	MaxCalls         int      // calls at once; 0: 8192
+	MaxCalls         int      // concurrent calls; 0: 8192
 	Observer         Observer // may be nil
 	// OnAccepted, if set, is called for each call accepted from a caller of this exchange,
 	// except those in transit and those set up again after a cut. It must not block.
@@ -141,7 +142,7 @@
 	removalGrace      = 500 * time.Millisecond // wait for releases from a removed switch that are in flight
 	linkCloseDelay    = 200 * time.Millisecond // then wait for releases sent to it
 	probeEarlyFor     = 10 * time.Second       // duration of early probing, see ProbeEarly
-	endedRetention    = 30 * time.Second
+	endedRetention    = 30 * time.Second       // how long the ID of an ended call is kept in endedCalls
 	maxEndedCalls     = 1 << 15
 	maxUnknownHangUps = 1024
 	clockOffset       = 24 * time.Hour // controller's time at start; above 0, as switches may have started before
@@ -256,7 +257,7 @@
 	select {
 	case call.actions <- action:
 	default:
-		// A call gets at most a send, a cancel and a final answer between two of its own
+		// A call gets at most a send, a cancel and a final answer between two of its
 		// events; more is a bug in the controller.
 		c.log.Error("action queue of a call is full", "call", name, "action", fmt.Sprintf("%T", action))
 	}
@@ -273,18 +274,18 @@
 }
 
 // Offer accepts a call. It returns ErrDuplicateCall if the call is already known, and
-// ErrBusy if there is no room or the core is stopping; the front end must then give the
-// final answer itself.
+// ErrBusy if Options.MaxCalls is reached or the core is stopping; the front end must then
+// give the final answer itself.
 func (c *Core) Offer(setUp *SetUp, caller Caller) error {
 	call := newCall(c, setUp, caller)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.stopped || len(c.calls) >= c.options.MaxCalls {
-		call.leave()
+		call.cancel()
 		return ErrBusy
 	}
 	if c.calls[setUp.ID] != nil {
-		call.leave()
+		call.cancel()
 		return ErrDuplicateCall
 	}
 	c.calls[setUp.ID], c.callsByName[call.name] = call, call
@@ -321,7 +322,7 @@
 	}
 	c.mu.Unlock()
 	if call != nil {
-		call.leave()
+		call.cancel()
 	}
 	if len(links) == 0 {
 		return
@@ -339,9 +340,9 @@
 func (c *Core) releaseUnknownCalls() error {
 	for {
 		select {
-		case end := <-c.unknownHangUps:
-			for _, l := range end.links {
-				l.Release(end.id)
+		case hangUp := <-c.unknownHangUps:
+			for _, l := range hangUp.links {
+				l.Release(hangUp.id)
 			}
 		case <-c.ctx.Done():
 			return nil
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -298,7 +298,7 @@
 			c.calls[id], c.callsByName[call.name] = call, call
 			c.unanswered++
 			c.mu.Unlock()
-			call.leave()
+			call.cancel()
 			c.serve(call)
 		}
 		offer(t, c, network, 1000+id, exchange)
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -9,8 +9,8 @@
 // AnswerStatus is how the core treated an answer of a switch.
 type AnswerStatus int
 
-// The answer statuses. A switch may send answers that are not for it to give: only a Late
-// answer means that the switch has a call that nobody waits for.
+// The answer statuses. A switch may wrongly answer a call that it was not offered, or answer it
+// twice, so only Late means that it has a call that nobody waits for.
 const (
 	Accepted    AnswerStatus = iota // the first answer to the outstanding set-up
 	Duplicate                       // the call is already established through this switch: ignore
@@ -81,8 +81,8 @@
 	h.core.cutCalls(h.listed, reason, before)
 }
 
-// SwitchSilent handles a switch that does not respond: others may not either, so that all
-// links probe early.
+// SwitchSilent handles a switch that does not respond. It makes all links probe early, because
+// other switches may not respond either.
 func (h *SwitchHandler) SwitchSilent() { h.core.ProbeEarly() }
 
 // cutCalls ends the calls that were established through a switch before the given time, and
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -72,7 +72,7 @@
 	for _, call := range c.calls {
 		if call.ctx.Err() == nil {
 			call.handedOver = true // not hung up: an established call goes on without this proxy
-			call.leave()
+			call.cancel()
 		}
 	}
 	c.mu.Unlock()
--- a/internal/core/switches.go
+++ b/internal/core/switches.go
@@ -14,7 +14,7 @@
 	Complete bool // Switches is the whole list of the source: switches missing from it are removed
 	Switches []Switch
 	// Graceful means that a removed switch may still run, and that its established calls go
-	// on. Otherwise its process is gone, and its calls have ended.
+	// on. Otherwise its process no longer runs, and its calls have ended.
 	Graceful bool
 }
 
@@ -55,7 +55,7 @@
 }
 
 // withDisplaced prepends removals of the switches whose address the entries give to another
-// switch: an address is reused only after its former switch is gone.
+// switch: an address is reused only when the process of its former switch no longer runs.
 func (c *Core) withDisplaced(entries []Switch, source string) []Switch {
 	var displacedEntries []Switch
 	for _, entry := range entries {
@@ -176,7 +176,8 @@
 }
 
 // ProbeEarly makes all links probe silent switches early for probeEarlyFor. It is called when
-// evidence is missing, as when a switch does not respond or the list is unavailable.
+// there is no recent evidence that switches are alive, as when one does not respond or the list
+// is unavailable.
 func (c *Core) ProbeEarly() { c.probeEarlyUntil(time.Now().Add(probeEarlyFor)) }
 
 // probeEarlyUntil makes all links probe silent switches early until the given time.
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -76,6 +76,7 @@
 	lists  []numberedList
 }
 
+// numberedList is a list of switches with the number of its event.
 type numberedList struct {
 	cursor int64
 	list   core.SwitchList
@@ -123,11 +124,11 @@
 			if !ok || entry.ID == "" {
 				return nil, fmt.Errorf("events: switch %q: missing id or unknown phase %q", entry.ID, entry.Phase)
 			}
-			member := core.Switch{ID: entry.ID, Addr: entry.Addr, Exchange: entry.Cell, State: state}
+			sw := core.Switch{ID: entry.ID, Addr: entry.Addr, Exchange: entry.Cell, State: state}
 			if entry.UpSince > 0 {
-				member.Started = time.UnixMicro(int64(entry.UpSince * 1000))
+				sw.Started = time.UnixMicro(int64(entry.UpSince * 1000))
 			}
-			list.Switches = append(list.Switches, member)
+			list.Switches = append(list.Switches, sw)
 		}
 		events.lists = append(events.lists, numberedList{cmd.Cursor, list})
 	}
@@ -147,10 +148,10 @@
 	c.cursor = max(c.cursor, events.cursor)
 }
 
-// Move continues at another address, where the event numbers continue; known are the
-// events supplied with the address. It cancels the current poll: the old address sends no
+// Move continues at another address, where the event numbers continue; events are
+// those supplied with the address. It cancels the current poll: the old address sends no
 // further events, and the poll would only end later.
-func (c *CommandChannel) Move(addr string, known *Events) {
+func (c *CommandChannel) Move(addr string, events *Events) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.Addr {
@@ -158,7 +159,7 @@
 	}
 	c.Addr = addr
 	if len(c.pendingMoves) < maxPendingMoves {
-		c.pendingMoves = append(c.pendingMoves, known)
+		c.pendingMoves = append(c.pendingMoves, events)
 	}
 	c.cancelPoll()
 	select {
@@ -171,7 +172,7 @@
 // request and the context of the poll with its cancel function.
 func (c *CommandChannel) beginPoll(ctx context.Context) (string, time.Duration, context.Context, context.CancelFunc) {
 	c.mu.Lock()
-	addr, known := c.Addr, c.pendingMoves
+	addr, pending := c.Addr, c.pendingMoves
 	c.pendingMoves = nil
 	select {
 	case <-c.wake:
@@ -184,7 +185,7 @@
 	ctx, c.cancelPoll = context.WithTimeout(ctx, block+c.replyTimeout)
 	cancel := c.cancelPoll
 	c.mu.Unlock()
-	for _, events := range known {
+	for _, events := range pending {
 		c.Apply(events)
 	}
 	return addr, block, ctx, cancel
@@ -201,7 +202,7 @@
 
 // Follow polls for new events until the context is cancelled. It always returns nil.
 func (c *CommandChannel) Follow(ctx context.Context) error {
-	// A dial to an unreachable channel outlives its poll. A timeout of its own, and no limit
+	// A dial to an unreachable channel outlives its poll. A separate timeout, and no limit
 	// on connections, keep it from delaying the next polls.
 	transport := &http.Transport{MaxIdleConns: 1, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/platform/release.go
+++ b/internal/platform/release.go
@@ -217,10 +217,10 @@
 	}
 }
 
-// pickConn returns a connection for a release, or nil; exclude only if there is no other. It
-// prefers connections that acknowledged a release, then trusted ones, then ones on which a
-// usable message was received, and among equals the one that was used last. Must be called
-// with s.mu held.
+// pickConn returns a connection for a release, or nil if there is none. It returns exclude only
+// if there is no other. It prefers connections that acknowledged a release, then trusted ones,
+// then ones on which a usable message was received, and among equals the one that was used last.
+// Must be called with s.mu held.
 func (s *Server) pickConn(exclude *callerConn) *callerConn {
 	rank := func(c *callerConn) int {
 		switch {
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -70,8 +70,8 @@
 func waitForOffer(t *testing.T, server *Server) core.Caller {
 	t.Helper()
 	select {
-	case from := <-server.Handler.(offerRecorder):
-		return from
+	case caller := <-server.Handler.(offerRecorder):
+		return caller
 	case <-time.After(20 * time.Second):
 		t.Fatal("no set-up was offered")
 		return nil
@@ -116,7 +116,7 @@
 	server, dial := startServer(t, 3, 100, time.Hour, time.Hour)
 	busy, active, unused := dial(), dial(), dial()
 	send(t, busy, newSetUp(7))
-	from := waitForOffer(t, server)
+	caller := waitForOffer(t, server)
 	send(t, active, testMessage)
 	if got := receive(t, active); got != testPassed {
 		t.Fatalf("got %q", got)
@@ -138,7 +138,7 @@
 	if got := receive(t, last); got != "" {
 		t.Errorf("got %q, want the end of the connection", got)
 	}
-	from.Fail(7)
+	caller.Fail(7)
 	if got := receive(t, busy); got != "12 7 41" {
 		t.Errorf("got %q for the set-up that was open all the time", got)
 	}
@@ -155,8 +155,8 @@
 	if got, want := receive(t, c), fmt.Sprintf("12 %x %d", maxUntrustedSetUps+1, sig.CauseCongestion); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
-	from := waitForOffer(t, server)
-	if err := from.Answer(1, []byte("d")); err != nil {
+	caller := waitForOffer(t, server)
+	if err := caller.Answer(1, []byte("d")); err != nil {
 		t.Fatal(err)
 	}
 	receive(t, c)
@@ -174,11 +174,11 @@
 	server, dial := startServer(t, 8, 8, time.Hour, time.Hour)
 	a, b := dial(), dial()
 	send(t, a, newSetUp(1))
-	from := waitForOffer(t, server)
+	caller := waitForOffer(t, server)
 	send(t, b, testMessage)
 	receive(t, b)
 	for _, id := range []uint64{1, 2} {
-		from.Release(id, false)
+		caller.Release(id, false)
 		if got, want := receive(t, a), fmt.Sprintf("12 %x 16", id); got != want {
 			t.Fatalf("got %q, want %q", got, want)
 		}
@@ -306,8 +306,8 @@
 		receive(t, c)
 	}
 	send(t, established, newSetUp(1))
-	from := waitForOffer(t, server)
-	if err := from.Answer(1, []byte("d")); err != nil {
+	caller := waitForOffer(t, server)
+	if err := caller.Answer(1, []byte("d")); err != nil {
 		t.Fatal(err)
 	}
 	receive(t, established)
@@ -345,7 +345,7 @@
 	if got := receive(t, established); got != "12 2 42" {
 		t.Errorf("got %q for a set-up on a connection with an established call", got)
 	}
-	from.Release(1, false)
+	caller.Release(1, false)
 	if got := receive(t, established); got != "12 1 16" {
 		t.Errorf("got %q for the end of the call", got)
 	}
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -26,8 +26,8 @@
 	// A switch may use a connection for a moment after it broke. It repeats its messages about
 	// established calls on the next connection that is opened after that.
 	renewalDelay = 300 * time.Millisecond
-	// formerCallsPeriod is how long after the link's creation calls from before a restart are
-	// assumed to exist at the switch although none is known.
+	// formerCallsPeriod is how long after the link's creation the switch is assumed to have calls
+	// from before a restart of this proxy, although none is known.
 	formerCallsPeriod  = 30 * time.Second
 	maxPendingReleases = 1024 // kept for a switch without a connection
 	// An abandoned dial is cancelled only after this many times its timeout: a connection that
@@ -65,7 +65,7 @@
 	peer     core.Switch
 	handler  Handler
 	log      *slog.Logger
-	counters *metrics.Set
+	metrics  *metrics.Set
 	dial     Dial
 	timeouts Timeouts
 	ctx      context.Context
@@ -83,8 +83,8 @@
 	// back for Timeouts.ReleaseBackoff from then on, as the switch may have held the calls
 	// until then. At most maxPendingReleases.
 	lateReleases map[uint64]time.Time
-	// silentSession fell silent and is kept open. Whether it is reset once another connection
-	// comes up shows if that one reaches the same peer.
+	// silentSession is kept open although it fell silent: if it is reset once another connection
+	// comes up, that connection has reached another peer.
 	silentSession *session
 	sessions      map[*session]bool
 	pending       []pendingRelease     // to be sent first on the next connection
@@ -102,8 +102,8 @@
 }
 
 // New creates a link and starts to connect.
-func New(ctx context.Context, peer core.Switch, handler Handler, timeouts Timeouts, log *slog.Logger, counters *metrics.Set, dial Dial) *Link {
-	l := &Link{peer: peer, handler: handler, log: log.With("switch", peer.ID, "addr", peer.Addr), counters: counters, dial: dial, timeouts: timeouts,
+func New(ctx context.Context, peer core.Switch, handler Handler, timeouts Timeouts, log *slog.Logger, metricSet *metrics.Set, dial Dial) *Link {
+	l := &Link{peer: peer, handler: handler, log: log.With("switch", peer.ID, "addr", peer.Addr), metrics: metricSet, dial: dial, timeouts: timeouts,
 		dialing: make(chan struct{}, 1), wake: make(chan struct{}, 1), sessions: map[*session]bool{}, lateReleases: map[uint64]time.Time{}, established: map[uint64]time.Time{},
 		detector: liveness.New(liveness.Defaults, time.Now())}
 	l.created = time.Now()
@@ -314,7 +314,7 @@
 	if l.ctx.Err() != nil {
 		return // this side ended the dial
 	}
-	l.counters.Dials.WithLabelValues(dialLabel(err)).Inc()
+	l.metrics.Dials.WithLabelValues(dialLabel(err)).Inc()
 	l.mu.Lock()
 	failedBefore := l.lastDial.err != nil
 	l.lastDial.at, l.lastDial.err = time.Now(), err
@@ -350,9 +350,9 @@
 		return // an error of the local machine is no evidence about the switch
 	}
 	call := l.anyEstablished()
-	missing := l.detector.ProbeFailing() || d.CallsEnded
+	silent := l.detector.ProbeFailing() || d.CallsEnded
 	l.apply(d, err, now)
-	if missing {
+	if silent {
 		l.handler.SwitchSilent()
 	}
 	if isRefused(err) && current != nil && call != 0 {
@@ -390,7 +390,7 @@
 	l.setState(liveness.Alive)
 }
 
-// check runs the detector's check when it is due.
+// check runs the detector's check when checkTimer fires.
 func (l *Link) check() {
 	l.mu.Lock()
 	if l.closed {
@@ -450,24 +450,24 @@
 		return
 	}
 	l.state = s
-	l.counters.SwitchStates.WithLabelValues(s.String()).Inc()
+	l.metrics.SwitchStates.WithLabelValues(s.String()).Inc()
 	l.log.Info("switch state changed", "state", s.String(), "standing", len(l.established))
 }
 
 // setEstablished records that a call is established at the switch, or no longer is. The
 // lock is held.
 func (l *Link) setEstablished(id uint64, established bool) {
-	before := len(l.established)
+	countBefore := len(l.established)
 	if _, known := l.established[id]; established && !known {
 		l.established[id] = time.Now()
 	} else if !established {
 		delete(l.established, id)
 	}
-	if len(l.established) == before {
+	if len(l.established) == countBefore {
 		return
 	}
 	l.detector.SetEstablished(len(l.established))
-	if before == 0 {
+	if countBefore == 0 {
 		if d := l.detector.Check(time.Now()); !d.NextCheck.IsZero() {
 			l.checkTimer.Reset(time.Until(d.NextCheck))
 		}
@@ -479,11 +479,11 @@
 func (l *Link) answered(s *session, id uint64, description []byte) core.AnswerStatus {
 	l.mu.Lock()
 	s.setUpDone(id)
-	_, before := l.established[id]
+	_, wasEstablished := l.established[id]
 	l.setEstablished(id, true)
 	l.mu.Unlock()
 	status := l.handler.Answered(id, description)
-	if !before && (status == core.UnknownCall || status == core.Late) {
+	if !wasEstablished && (status == core.UnknownCall || status == core.Late) {
 		l.mu.Lock()
 		l.setEstablished(id, false)
 		l.mu.Unlock()
@@ -577,34 +577,34 @@
 }
 
 // SetUp implements core.Link. It dials if there is no connection.
-func (l *Link) SetUp(ctx context.Context, u *core.SetUp, deadline time.Time, maySend func() bool) error {
+func (l *Link) SetUp(ctx context.Context, setUp *core.SetUp, deadline time.Time, maySend func() bool) error {
 	if _, err := l.connect(ctx); err != nil {
 		return fmt.Errorf("%w: %w", core.ErrNotReached, err)
 	}
 	l.mu.Lock()
 	s := l.current
 	if s != nil {
-		s.outstanding[u.ID] = true // before the write: the answer may arrive at once
+		s.outstanding[setUp.ID] = true // before the write: the answer may arrive at once
 	}
-	backoff := s != nil && l.inReleaseBackoff(s, u.ID)
+	backoff := s != nil && l.inReleaseBackoff(s, setUp.ID)
 	if backoff {
-		delete(s.outstanding, u.ID)
+		delete(s.outstanding, setUp.ID)
 	}
 	l.mu.Unlock()
 	switch {
 	case s == nil:
 		return core.ErrNotReached // the session has just ended
 	case backoff:
-		l.Release(u.ID) // again, as the earlier release may be lost
+		l.Release(setUp.ID) // again, as the earlier release may be lost
 		return fmt.Errorf("%w: the release of the call's previous attempt at this switch is too recent", core.ErrNotSent)
 	}
-	err := s.write(maySend, func() error { return s.conn.SetUp(u, deadline) })
+	err := s.write(maySend, func() error { return s.conn.SetUp(setUp, deadline) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		s.setUpDone(u.ID)
-	case s.outstanding[u.ID]:
+		s.setUpDone(setUp.ID)
+	case s.outstanding[setUp.ID]:
 		s.setUpSent()
 	}
 	return err
@@ -634,12 +634,12 @@
 	return late && now.Sub(at) < l.timeouts.ReleaseBackoff
 }
 
-// CancelSetUp tells the switch that a set-up is abandoned.
+// CancelSetUp notifies the switch that a set-up is abandoned.
 func (l *Link) CancelSetUp(id uint64) { l.Release(id) }
 
-// Release tells the switch that a call has ended. Without a connection the release is sent
+// Release notifies the switch that a call has ended. Without a connection the release is sent
 // first on the next one. If maxPendingReleases are already waiting, it is dropped, and the
-// switch is told when it next sends a message about the call.
+// switch is notified when it next sends a message about the call.
 func (l *Link) Release(id uint64) { l.release(pendingRelease{id, time.Now()}) }
 
 // release sends a release or keeps it as pending. The release of an outstanding set-up goes
@@ -664,7 +664,7 @@
 		return
 	}
 	if err := target.write(nil, func() error { return target.conn.Release(r.id) }); err != nil {
-		l.log.Debug("release not sent", "call", callName(r.id), "error", err)
+		l.log.Debug("release not sent", "call", formatCallID(r.id), "error", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/trunk/liveness_test.go
+++ b/internal/trunk/liveness_test.go
@@ -41,10 +41,10 @@
 		return Event{}, err
 	}
 }
-func (p *pipe) SetUp(u *core.SetUp, _ time.Time) error { return p.record("set up ", u.ID) }
-func (p *pipe) Release(id uint64) error                { return p.record("release ", id) }
-func (p *pipe) AcknowledgeRelease(id uint64) error     { return p.record("acknowledge ", id) }
-func (p *pipe) ReplyToTest(id uint64) error            { return p.record("test reply ", id) }
+func (p *pipe) SetUp(setUp *core.SetUp, _ time.Time) error { return p.record("set up ", setUp.ID) }
+func (p *pipe) Release(id uint64) error                    { return p.record("release ", id) }
+func (p *pipe) AcknowledgeRelease(id uint64) error         { return p.record("acknowledge ", id) }
+func (p *pipe) ReplyToTest(id uint64) error                { return p.record("test reply ", id) }
 func (p *pipe) Close() error {
 	p.end(io.EOF)
 	return nil
@@ -55,7 +55,7 @@
 }
 func (p *pipe) end(err error) { p.endOnce.Do(func() { p.ended <- err }) }
 func (p *pipe) record(message string, id uint64) error {
-	p.writes <- message + callName(id)
+	p.writes <- message + formatCallID(id)
 	return nil
 }
 
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -29,7 +29,7 @@
 type session struct {
 	link    *Link
 	conn    Conn
-	writing sync.Mutex // held while a message is written
+	writeMu sync.Mutex // held while a message is written
 
 	// Guarded by the link's lock:
 	outstanding        map[uint64]bool  // set-ups sent on the connection that are not answered
@@ -59,9 +59,9 @@
 	s.conn.Close()
 }
 
-// silenceExpired takes a session out of use on which a set-up was sent and nothing at all
-// was received since: the network has lost the connection without a sign, or the
-// switch is unreachable.
+// silenceExpired takes a session out of use if nothing at all was received on it since a
+// set-up was sent: the network has dropped the connection without an error, or the switch
+// is unreachable.
 func (s *session) silenceExpired() {
 	s.link.mu.Lock()
 	if !s.timerRunning {
@@ -201,7 +201,7 @@
 		l.log.Warn("connection to switch broke", "error", err, "open", len(s.outstanding), "standing", len(l.established))
 	}
 	if reason != "" {
-		l.counters.SwitchConnsClosed.WithLabelValues(reason).Inc()
+		l.metrics.SwitchConnsClosed.WithLabelValues(reason).Inc()
 	}
 }
 
@@ -214,11 +214,11 @@
 		switch l.answered(s, ev.Call, ev.Description) {
 		case core.Late:
 			// The attempt was abandoned: the call is released, and the answer not passed on.
-			l.log.Debug("call released after late answer", "call", callName(ev.Call))
+			l.log.Debug("call released after late answer", "call", formatCallID(ev.Call))
 			l.Release(ev.Call)
 		case core.Duplicate, core.UnknownCall:
 			// A release would end an established call, or another caller's call.
-			l.log.Debug("answer dropped: duplicate, or of an unknown call", "call", callName(ev.Call))
+			l.log.Debug("answer dropped: duplicate, or of an unknown call", "call", formatCallID(ev.Call))
 		}
 	case End:
 		l.callEnded(s, ev.Call)
@@ -235,8 +235,8 @@
 // ends what was outstanding on it. If maySend is set and returns false, nothing is written and
 // the error is core.ErrNotSent.
 func (s *session) write(maySend func() bool, send func() error) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if maySend != nil && !maySend() {
 		return core.ErrNotSent
 	}
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -23,7 +23,7 @@
 	Read() (Event, error)
 	// SetUp sends a set-up that the switch must answer by the deadline. It returns an error
 	// that wraps core.ErrNotSent if the set-up can't be encoded; the connection stays usable.
-	SetUp(s *core.SetUp, deadline time.Time) error
+	SetUp(setUp *core.SetUp, deadline time.Time) error
 	Release(id uint64) error
 	AcknowledgeRelease(id uint64) error
 	ReplyToTest(id uint64) error
@@ -42,8 +42,8 @@
 	Drain() error
 }
 
-// Pinger is a Conn that can ping the switch. A switch without a Pinger is probed by another
-// connection to it.
+// Pinger is a Conn that can ping the switch. If a switch's Conn is no Pinger, the switch is probed
+// by opening another connection to it.
 type Pinger interface {
 	Ping(ctx context.Context) error
 }
@@ -112,5 +112,5 @@
 		errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETUNREACH)
 }
 
-// callName returns a call's id as it is logged: 16 hexadecimal digits.
-func callName(id uint64) string { return fmt.Sprintf("%016x", id) }
+// formatCallID returns a call's id as it is logged: 16 hexadecimal digits.
+func formatCallID(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -27,17 +27,19 @@
 	<-r.closed
 	return Event{}, io.EOF
 }
-func (r *recordingConn) SetUp(s *core.SetUp, _ time.Time) error { return r.record("set up ", s.ID) }
-func (r *recordingConn) Release(id uint64) error                { return r.record("release ", id) }
-func (r *recordingConn) AcknowledgeRelease(id uint64) error     { return r.record("acknowledge ", id) }
-func (r *recordingConn) ReplyToTest(id uint64) error            { return r.record("test reply ", id) }
+func (r *recordingConn) SetUp(setUp *core.SetUp, _ time.Time) error {
+	return r.record("set up ", setUp.ID)
+}
+func (r *recordingConn) Release(id uint64) error            { return r.record("release ", id) }
+func (r *recordingConn) AcknowledgeRelease(id uint64) error { return r.record("acknowledge ", id) }
+func (r *recordingConn) ReplyToTest(id uint64) error        { return r.record("test reply ", id) }
 func (r *recordingConn) Close() error {
 	r.once.Do(func() { close(r.closed) })
 	return nil
 }
 
 func (r *recordingConn) record(message string, id uint64) error {
-	r.written <- message + callName(id)
+	r.written <- message + formatCallID(id)
 	return nil
 }
 
