--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -9,8 +9,9 @@
 // AnswerStatus is how the core treated an answer of a switch.
 type AnswerStatus int
 
-// The answer statuses. A switch may wrongly answer a call that it was not offered, or answer it
-// twice, so only Late means that it has a call that nobody waits for.
+// The answer statuses. A switch may answer a call twice, or one that it was not offered. Only Late
+// means that it has a call that nobody waits for: a release after a Duplicate or an UnknownCall
+// would end an established call, or another caller's call.
 const (
 	Accepted    AnswerStatus = iota // the first answer to the outstanding set-up
 	Duplicate                       // the call is already established through this switch: ignore
--- a/internal/platform/release.go
+++ b/internal/platform/release.go
@@ -53,7 +53,7 @@
 // connection if possible. The release is sent again on another connection if callers that
 // acknowledge releases do not acknowledge it: a release that crosses a close is lost without
 // an error, and a connection that belongs to no real caller, such as that of a faulty client or
-// of the test after a start, discards it. Must be called with s.mu held; the returned function
+// of the readiness test after a start, discards it. Must be called with s.mu held; the returned function
 // without.
 func (s *Server) startRelease(id uint64, cut bool, preferred *callerConn) (send func()) {
 	if s.closed || s.pendingReleases[id] != nil {
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -349,16 +349,16 @@
 		l.mu.Unlock()
 		return // an error of the local machine is no evidence about the switch
 	}
-	call := l.anyEstablished()
+	id := l.anyEstablished()
 	silent := l.detector.ProbeFailing() || d.CallsEnded
 	l.apply(d, err, now)
 	if silent {
 		l.handler.SwitchSilent()
 	}
-	if isRefused(err) && current != nil && call != 0 {
+	if isRefused(err) && current != nil && id != 0 {
 		// The switch drains, or its process exited during a network outage and the reset was
 		// lost. A message without effect provokes another reset.
-		_ = current.write(nil, func() error { return current.conn.AcknowledgeRelease(call) })
+		_ = current.write(nil, func() error { return current.conn.AcknowledgeRelease(id) })
 	}
 }
 
@@ -582,30 +582,30 @@
 		return fmt.Errorf("%w: %w", core.ErrNotReached, err)
 	}
 	l.mu.Lock()
-	s := l.current
-	if s != nil {
-		s.outstanding[setUp.ID] = true // before the write: the answer may arrive at once
+	current := l.current
+	if current != nil {
+		current.outstanding[setUp.ID] = true // before the write: the answer may arrive at once
 	}
-	backoff := s != nil && l.inReleaseBackoff(s, setUp.ID)
+	backoff := current != nil && l.inReleaseBackoff(current, setUp.ID)
 	if backoff {
-		delete(s.outstanding, setUp.ID)
+		delete(current.outstanding, setUp.ID)
 	}
 	l.mu.Unlock()
 	switch {
-	case s == nil:
+	case current == nil:
 		return core.ErrNotReached // the session has just ended
 	case backoff:
 		l.Release(setUp.ID) // again, as the earlier release may be lost
 		return fmt.Errorf("%w: the release of the call's previous attempt at this switch is too recent", core.ErrNotSent)
 	}
-	err := s.write(maySend, func() error { return s.conn.SetUp(setUp, deadline) })
+	err := current.write(maySend, func() error { return current.conn.SetUp(setUp, deadline) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		s.setUpDone(setUp.ID)
-	case s.outstanding[setUp.ID]:
-		s.setUpSent()
+		current.setUpDone(setUp.ID)
+	case current.outstanding[setUp.ID]:
+		current.setUpSent()
 	}
 	return err
 }
--- a/internal/trunk/session.go
+++ b/internal/trunk/session.go
@@ -74,28 +74,28 @@
 // markSilent takes a silent session out of use and logs the message. The connection stays
 // open beside its successor. The link's lock is held on entry; markSilent releases it.
 func (s *session) markSilent(message string) {
-	l := s.link
-	l.log.Warn(message, "open", len(s.outstanding), "standing", len(l.established))
-	outstanding, releases := l.detach(s)
+	link := s.link
+	link.log.Warn(message, "open", len(s.outstanding), "standing", len(link.established))
+	outstanding, releases := link.detach(s)
 	superseded := s
 	if !s.replaced {
-		superseded, l.silentSession = l.silentSession, s
-		l.scheduleRenewal()
+		superseded, link.silentSession = link.silentSession, s
+		link.scheduleRenewal()
 	}
 	if superseded != nil {
 		superseded.close(metrics.CloseSilent)
 	}
-	l.detector.ConnectionSilent()
+	link.detector.ConnectionSilent()
 	now := time.Now()
-	l.apply(l.detector.Check(now), nil, now)
+	link.apply(link.detector.Check(now), nil, now)
 	// The releases are also written on this connection: a set-up stays in flight until it is
 	// released where it was sent or its connection is closed, and this one stays open.
 	for _, id := range outstanding {
 		_ = s.write(nil, func() error { return s.conn.Release(id) })
 	}
-	l.releaseAll(releases)
+	link.releaseAll(releases)
 	s.reportReset(outstanding)
-	l.handler.SwitchSilent()
+	link.handler.SwitchSilent()
 }
 
 // reportReset reports set-ups as reset with their connection.
@@ -107,14 +107,14 @@
 
 // received records that a message was received.
 func (s *session) received() {
-	l := s.link
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	link := s.link
+	link.mu.Lock()
+	defer link.mu.Unlock()
 	s.timerRunning = false
 	s.silenceTimer.Stop()
 	s.lastReceived = time.Now()
 	s.unconfirmed = s.unconfirmed[:0]
-	l.received()
+	link.received()
 }
 
 // setUpSent starts the silence timer after a set-up was sent. The link's lock is held.
@@ -158,7 +158,7 @@
 // outstanding set-ups as reset. Any of them may have been answered and the answer lost, so
 // the switch is sent their releases on the next connection.
 func (s *session) read() {
-	l := s.link
+	link := s.link
 	var err error
 	for {
 		var ev Event
@@ -167,65 +167,65 @@
 		}
 		s.received()
 		if ev.Warning != nil {
-			l.log.Warn("unknown element in message from switch", "error", ev.Warning)
+			link.log.Warn("unknown element in message from switch", "error", ev.Warning)
 		}
 		s.handle(ev)
 	}
 	if drainer, ok := s.conn.(Drainer); ok && errors.Is(err, os.ErrDeadlineExceeded) {
 		// The switch fell silent in the middle of a message. The session stays open: how it
 		// ends shows whether the next connection reaches the same peer.
-		l.mu.Lock()
+		link.mu.Lock()
 		s.markSilent("connection to switch is silent in the middle of a message")
 		if err = drainer.Drain(); err == nil {
 			err = io.EOF
 		}
 	}
 	s.conn.Close()
-	s.reportReset(l.sessionEnded(s, err))
-	l.wakeMaintain()
+	s.reportReset(link.sessionEnded(s, err))
+	link.wakeMaintain()
 }
 
 // logEnd logs and counts why a session ended. The link's lock is held.
 func (s *session) logEnd(err error) {
-	l := s.link
+	link := s.link
 	reason := s.closeReason
 	switch {
-	case reason != "" || l.closed:
+	case reason != "" || link.closed:
 	case errors.Is(err, io.EOF):
 		reason = metrics.CloseByPeer
-		l.log.Info("connection closed by switch", "open", len(s.outstanding), "standing", len(l.established))
+		link.log.Info("connection closed by switch", "open", len(s.outstanding), "standing", len(link.established))
 	case errors.Is(err, net.ErrClosed): // after a failed write, which was logged
 		reason = metrics.CloseBroken
 	default:
 		reason = metrics.CloseBroken
-		l.log.Warn("connection to switch broke", "error", err, "open", len(s.outstanding), "standing", len(l.established))
+		link.log.Warn("connection to switch broke", "error", err, "open", len(s.outstanding), "standing", len(link.established))
 	}
 	if reason != "" {
-		l.metrics.SwitchConnsClosed.WithLabelValues(reason).Inc()
+		link.metrics.SwitchConnsClosed.WithLabelValues(reason).Inc()
 	}
 }
 
 // handle processes a message from the switch. A lost reply is sent again when the
 // switch repeats its message.
 func (s *session) handle(ev Event) {
-	l := s.link
+	link := s.link
 	switch ev.Kind {
 	case Answer:
-		switch l.answered(s, ev.Call, ev.Description) {
+		switch link.answered(s, ev.Call, ev.Description) {
 		case core.Late:
 			// The attempt was abandoned: the call is released, and the answer not passed on.
-			l.log.Debug("call released after late answer", "call", formatCallID(ev.Call))
-			l.Release(ev.Call)
+			link.log.Debug("call released after late answer", "call", formatCallID(ev.Call))
+			link.Release(ev.Call)
 		case core.Duplicate, core.UnknownCall:
 			// A release would end an established call, or another caller's call.
-			l.log.Debug("answer dropped: duplicate, or of an unknown call", "call", formatCallID(ev.Call))
+			link.log.Debug("answer dropped: duplicate, or of an unknown call", "call", formatCallID(ev.Call))
 		}
 	case End:
-		l.callEnded(s, ev.Call)
-		l.handler.Ended(ev.Call, ev.End)
+		link.callEnded(s, ev.Call)
+		link.handler.Ended(ev.Call, ev.End)
 		_ = s.write(nil, func() error { return s.conn.AcknowledgeRelease(ev.Call) })
 	case Group:
-		l.handler.GroupReported(ev.Report)
+		link.handler.GroupReported(ev.Report)
 	case Test:
 		_ = s.write(nil, func() error { return s.conn.ReplyToTest(ev.Call) })
 	}
