--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
 // Command wirehost serves the simulator's text protocol on standard input and output with
-// the routing controller. The flag -policy selects a simple policy of package mesh instead,
-// for comparison: even or direct.
+// the routing controller. The flag -policy selects the policy: module, the default, is the
+// routing controller; even and direct are simple policies of package mesh for comparison.
 package main
 
 import (
--- a/decide/duty/duty_test.go
+++ b/decide/duty/duty_test.go
@@ -195,7 +195,7 @@
 }
 
 // Applies random entries and checks that the log's time never decreases and never jumps by
-// more than a lease, whatever the leader's clock does; that instances that are heard keep
+// more than a lease, whatever the leader's clock does; that instances in Tick.Heard keep
 // their leases; that two copies of a state are equal, also after one of them was saved and
 // loaded; that owners are live; that each epoch belongs to one owner in one incarnation;
 // that no duty lacks an owner while an instance is live; that loads add up; and that the
--- a/decide/duty/explore_test.go
+++ b/decide/duty/explore_test.go
@@ -14,7 +14,7 @@
 
 // The tests of this file explore the states of a model exhaustively. The model has three
 // instances, two duties, a log that a majority can append to, and a sink. Each step is one
-// of: the leader ticks, having heard all running instances or all but one; an instance
+// of: the leader ticks, having heard from all running instances or all but one; an instance
 // applies the next log entry; an instance starts the runs that it may start; the effect of
 // a run reaches the sink, with or without a duplicate left in flight, and its
 // acknowledgement is received or lost; the effect is lost; an instance crashes or
@@ -171,14 +171,14 @@
 	}
 }
 
-func (m *model) tick(unheard int) bool {
+func (m *model) tick(silent int) bool {
 	if !m.hasMajority() {
 		return false
 	}
 	m.now += time.Second
 	var heard []string
 	for i, in := range m.instances {
-		if in.up && i != unheard {
+		if in.up && i != silent {
 			heard = append(heard, exploreIDs[i])
 		}
 	}
@@ -193,9 +193,9 @@
 			out = append(out, v)
 		}
 	}
-	for unheard := -1; unheard < 3; unheard++ {
-		if unheard < 0 || m.instances[unheard].up {
-			try(func(v *model) bool { return v.tick(unheard) })
+	for silent := -1; silent < 3; silent++ {
+		if silent < 0 || m.instances[silent].up {
+			try(func(v *model) bool { return v.tick(silent) })
 		}
 	}
 	for i, in := range m.instances {
@@ -311,10 +311,10 @@
 	return len(seen), ""
 }
 
-// modelWithUnheard returns a state shortly before a failover, where faults need few steps:
-// two seconds after the start, a period is due, its runs have started on their owners, and
-// for three ticks the given instance is not heard.
-func modelWithUnheard(unheard int) *model {
+// modelWithSilentInstance returns a state shortly before a failover, where faults need few
+// steps: two seconds after the start, a period is due, its runs have started on their owners,
+// and for three ticks the leader has not heard from the given instance.
+func modelWithSilentInstance(silent int) *model {
 	m := newModel()
 	for range 2 {
 		m.tick(-1)
@@ -328,7 +328,7 @@
 		m.startRuns(i)
 	}
 	for range 3 {
-		m.tick(unheard)
+		m.tick(silent)
 	}
 	return m
 }
@@ -345,7 +345,7 @@
 	for name, c := range map[string]struct {
 		from  *model
 		depth int
-	}{"from the start": {newModel(), 5}, "a is not heard": {modelWithUnheard(0), 4}, "b is not heard": {modelWithUnheard(1), 4}, "c is not heard": {modelWithUnheard(2), 4}} {
+	}{"from the start": {newModel(), 5}, "a is silent": {modelWithSilentInstance(0), 4}, "b is silent": {modelWithSilentInstance(1), 4}, "c is silent": {modelWithSilentInstance(2), 4}} {
 		all.Go(func() {
 			n, fault := explore(c.from, c.depth+*extraDepth, 5_000_000)
 			if fault != "" {
@@ -366,7 +366,7 @@
 	for _, brokenFence := range []string{"epoch", "none"} {
 		found := ""
 		for i := range 3 {
-			m := modelWithUnheard(i)
+			m := modelWithSilentInstance(i)
 			m.brokenFence = brokenFence
 			if _, fault := explore(m, 5, 2_000_000); strings.Contains(fault, "twice") {
 				found = fault
--- a/decide/liveness/liveness.go
+++ b/decide/liveness/liveness.go
@@ -135,8 +135,8 @@
 // Connected records that a new connection came up. That is evidence of life, but not always
 // of the same machine. Another machine has taken over the address if a connection was reset
 // and further connections then failed, or if a connection was reset that had fallen silent.
-// The same holds after the reset of a draining peer, which itself accepts no new connection.
-// The calls from before have then ended.
+// The same is true after a reset by a draining peer, since a draining peer accepts no new
+// connection. In these cases the calls established before have ended.
 func (d *Detector) Connected(now time.Time) Decision {
 	replaced := d.silentReset || d.wasReset && (d.draining || d.failedProbes >= d.settings.MinFailures)
 	callsEnded := replaced && d.established > 0
@@ -149,12 +149,13 @@
 	return decision
 }
 
-// ConnectionReset records that a connection was reset, and not by this side; silent is
-// whether it had fallen silent before.
+// ConnectionReset records that a connection was reset by the other side; silent says whether
+// it had fallen silent before.
+//
 // If nothing was received for minQuiet, the reset may come from another process at the
-// address, or be a fault of the network. The list of peers tells which, where it is
-// available. While evidence is missing, the calls are declared ended EvidenceTimeout after
-// the last message before the reset.
+// address, or be a fault of the network. The list of peers shows which, if it is available.
+// Until the time set by ProbeEarlyUntil, the calls established before the reset are
+// declared ended EvidenceTimeout after the last message before it.
 func (d *Detector) ConnectionReset(now time.Time, silent bool) Decision {
 	d.wasReset = true
 	d.silentReset = d.silentReset || silent
--- a/decide/plan/apply.go
+++ b/decide/plan/apply.go
@@ -1,7 +1,7 @@
 package plan
 
-// CarriedWorth returns the worth a second that an answer's routes would carry under the
-// demand of another problem. Each demand is split in the answer's shares; where the load
+// CarriedWorth returns the worth per second that an answer's routes would carry under
+// the demand of another problem. Each demand is split in the answer's shares; where the load
 // of a group or processor would exceed its capacity, all flows through it are reduced in
 // proportion. A demand that the answer has no route for, and a path that p lacks, carry
 // nothing. With it, an old plan and a new one are compared under the same demand.
--- a/decide/plan/model.go
+++ b/decide/plan/model.go
@@ -28,7 +28,7 @@
 // quota is the worth that a tenant's share grants it at one switch.
 type quota struct {
 	tenantIndex, switchIndex int
-	offered, amount          float64 // worth a second
+	offered, amount          float64 // worth per second
 	maxCarried               float64 // upper bound on the carried part of offered
 }
 
@@ -374,10 +374,10 @@
 	return c
 }
 
-// blockWorth returns the worth a second of a block's whole rate.
+// blockWorth returns the worth per second of a block's whole rate.
 func (l *layout) blockWorth(b block) float64 { return b.rate * l.model.callWorth[b.demand] }
 
-// totalWorth returns the worth a second of all blocks.
+// totalWorth returns the worth per second of all blocks.
 func (l *layout) totalWorth() float64 {
 	sum := 0.0
 	for _, b := range l.blocks {
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -283,9 +283,9 @@
 // Admit is the admitted worth of one tenant at one switch.
 type Admit struct {
 	Tenant, Switch string
-	Offered        float64 // worth a second
-	Quota          float64 // the tenant's share of all worth offered at the switch, worth a second
-	Admitted       float64 // worth a second that is carried, within and beyond the quota
+	Offered        float64 // worth per second
+	Quota          float64 // the tenant's share of all worth offered at the switch, worth per second
+	Admitted       float64 // worth per second that is carried, within and beyond the quota
 }
 
 // Load is the planned load of a group (A and B are its ends) or of a processor (A is
@@ -294,8 +294,8 @@
 	A, B     string
 	Load     float64 // erlangs of circuits, or set-ups/s
 	Capacity float64 // in the same unit; for a group, reduced to meet the target blocking
-	Price    float64 // shadow price: worth a second of one more unit of Capacity
-	One      float64 // worth a second of one more circuit, or of one more set-up/s
+	Price    float64 // shadow price: worth per second of one more unit of Capacity
+	One      float64 // worth per second of one more circuit, or of one more set-up/s
 }
 
 // Answer is a plan. All lists are sorted by name.
@@ -305,10 +305,10 @@
 	Groups    []Load
 	Switches  []Load
 	Shares    []float64 // shadow price of each quota in Tenants: worth for each unit of quota
-	Worth     float64   // worth a second; worth beyond the tenants' shares counts a tenth
+	Worth     float64   // worth per second; worth beyond the tenants' shares counts a tenth
 	Bound     float64   // upper bound on the worth of any plan
-	Gap       float64   // (Bound - Worth) / Bound
-	Cost      float64   // of routes and carried erlangs, a second
+	Gap       float64   // (Bound - Worth) / max(Bound, minBound)
+	Cost      float64   // cost per second of routes and carried erlangs
 	Roughness float64   // sum of squared utilization of groups and processors, weighted by capacity; see docs/plan.md
 	Steps     int       // interior-point iterations, all objectives
 	Stages    int       // objectives that were optimized, of 3: worth, cost, and evenness with least squares
--- a/decide/plan/solve.go
+++ b/decide/plan/solve.go
@@ -543,11 +543,11 @@
 			enlarged.Switches[res.switchIndex].SetUps += extra
 		}
 	}
-	mustsFit := func() (bool, error) {
+	requiredCallsFit := func() (bool, error) {
 		s, _, err := newModel(&enlarged, false).findShortfall(layoutOptions{}, o)
 		return s == nil, err
 	}
-	if ok, err := mustsFit(); err != nil {
+	if ok, err := requiredCallsFit(); err != nil {
 		return err
 	} else if !ok {
 		return fmt.Errorf("%w: the required calls exceed the enlarged capacity", ErrUnverified)
@@ -557,9 +557,9 @@
 		b, ok := additions[r]
 		for ok && b.Circuits > 0 {
 			enlarged.Groups[m.resources[r].groupIndex].Circuits--
-			if fine, err := mustsFit(); err != nil {
+			if fits, err := requiredCallsFit(); err != nil {
 				return err
-			} else if !fine {
+			} else if !fits {
 				enlarged.Groups[m.resources[r].groupIndex].Circuits++
 				break
 			}
--- a/decide/plan/verify.go
+++ b/decide/plan/verify.go
@@ -7,12 +7,12 @@
 
 // Verification holds the values that Verify computed.
 type Verification struct {
-	Worth float64 // of the answer, worth a second, recomputed from its routes
+	Worth float64 // of the answer, worth per second, recomputed from its routes
 	Bound float64 // upper bound on the worth of any plan, from the answer's prices alone
 	Gap   float64 // (Bound - Worth) / max(Bound, minBound)
 }
 
-// minBound is the smallest divisor of a relative gap, worth a second. It keeps rounding
+// minBound is the smallest divisor of a relative gap, in worth per second. It keeps rounding
 // errors out of the gap of a plan that has almost no worth.
 const minBound = 1e-4
 
@@ -79,8 +79,8 @@
 	return "group " + k.a + "-" + k.b
 }
 
-// tenantQuota is a tenant's quota at one switch and its carried worth, both worth a second,
-// and the quota's shadow price.
+// tenantQuota is a tenant's quota at one switch and its carried worth, both in worth per
+// second, and the quota's shadow price.
 type tenantQuota struct{ amount, carried, price float64 }
 
 // verifier holds a problem, indexed, and what the checks of an answer add up.
--- a/decide/plan/weights.go
+++ b/decide/plan/weights.go
@@ -3,14 +3,15 @@
 import "math"
 
 // TandemWeight is the share of a tandem among the alternate routes from one switch to
-// another.
+// another. It becomes a Weight of package routing.
 type TandemWeight struct {
 	From, To, Tandem string
 	Weight           float64 // weights of the same From and To add up to 1
 }
 
 // CircuitValue is the worth of one circuit of a group to the calls that the plan routes
-// over it, relative to the highest worth that a circuit could carry: 0 to 1.
+// over it, relative to the highest worth that a circuit could carry: 0 to 1. Package routing
+// calls it a Guard.
 type CircuitValue struct {
 	A, B  string
 	Value float64
--- a/decide/replan/replan.go
+++ b/decide/replan/replan.go
@@ -9,8 +9,8 @@
 	"violetspan.example/violetspan/decide/plan"
 )
 
-// ErrOtherInventory is returned for a plan that was made for other switches, groups, classes
-// or tenants than the inventory's.
+// ErrOtherInventory is returned for a plan whose switches, groups, classes or tenants differ
+// from the inventory's.
 var ErrOtherInventory = errors.New("the plan is for another inventory")
 
 // Settings configures a Planner. The zero value of a field means its default, which is
@@ -126,8 +126,8 @@
 func (p *Planner) Count(now time.Duration, f Flow, n int) { p.meter.Count(now, f, n) }
 
 // SetInventory sets the inventory. If more than its demand has changed, the plan in force
-// is withdrawn, because a switch, group or class that it uses may be gone, and the result of
-// a solve in progress will be ignored, because it is for the old inventory.
+// is withdrawn, because a switch, group or class that it uses may no longer exist, and the
+// result of a solve in progress will be ignored, because it is for the old inventory.
 func (p *Planner) SetInventory(now time.Duration, inventory *plan.Problem) []Action {
 	same := p.inventory != nil && SameExceptDemand(p.inventory, inventory)
 	p.inventory = inventory
--- a/decide/replan/replan_test.go
+++ b/decide/replan/replan_test.go
@@ -38,7 +38,7 @@
 		case s > 60 && s < 300 && math.Abs(got-5) > 4*5/math.Sqrt(2*5*60*(1-math.Exp(-s/60))),
 			s > 355 && s < 365 && math.Abs(got-8.16) > 1.5,
 			s > 540 && math.Abs(got-10) > 4*10/math.Sqrt(2*10*60):
-			t.Fatalf("%v: %v calls a second", now, got)
+			t.Fatalf("%v: %v calls per second", now, got)
 		}
 	}
 	if got := d.Rates(now + 600*sec)[0].Rate; got > 0.01 {
--- a/internal/planner/explain.go
+++ b/internal/planner/explain.go
@@ -75,10 +75,10 @@
 		out.line("  %s", c)
 	}
 	if infeasible.NoRoute {
-		out.line("no path of groups leads there, so enlarging groups would not help")
+		out.line("no path of groups leads to the destination, so enlarging groups would not help")
 		return out.err
 	}
-	out.line("cheapest enlargement with which all must-demands can be carried, cost %.4g:", infeasible.Cost)
+	out.line("cheapest enlargement with which all required calls can be carried, cost %.4g:", infeasible.Cost)
 	for _, a := range infeasible.Additions {
 		if a.B != "" {
 			out.line("  group %s-%s: %d more circuits", a.A, a.B, a.Circuits)
@@ -95,14 +95,14 @@
 	err error
 }
 
-func (e *printer) line(format string, args ...any) {
-	if e.err == nil {
-		_, e.err = fmt.Fprintf(e.w, format+"\n", args...)
+func (p *printer) line(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.w, format+"\n", args...)
 	}
 }
 
-func (e *printer) list(title string, groups, switches []plan.Load, maxLines int, value func(plan.Load) float64) {
-	e.line("%s:", title)
+func (p *printer) list(title string, groups, switches []plan.Load, maxLines int, value func(plan.Load) float64) {
+	p.line("%s:", title)
 	all := slices.Concat(groups, switches)
 	slices.SortStableFunc(all, func(x, y plan.Load) int { return cmp.Compare(value(y), value(x)) })
 	for _, l := range all[:min(maxLines, len(all))] {
@@ -113,7 +113,7 @@
 		if l.B != "" {
 			name = "group " + l.A + "-" + l.B
 		}
-		e.line("  %-32s %.4g  (%.4g of %.4g)", name, value(l), l.Load, l.Capacity)
+		p.line("  %-32s %.4g  (%.4g of %.4g)", name, value(l), l.Load, l.Capacity)
 	}
 }
 
--- a/internal/planner/loop.go
+++ b/internal/planner/loop.go
@@ -16,7 +16,7 @@
 )
 
 // Settings configures a Loop. The zero value of Deadline, Gap, Blocking or a field of Replan
-// means its default.
+// means its default, which is given at the end of the field's comment.
 type Settings struct {
 	File        string        // plan file to read at the start and on each reload; "": none
 	Measure     bool          // solve for new plans from the measured demand
@@ -70,7 +70,8 @@
 	err    error
 }
 
-// New returns a Loop that passes plans to the controller through notify.
+// New returns a Loop that passes plans to the controller through notify. The second argument
+// of notify is when the plan expires; the event's ValidUntil is not set.
 func New(settings Settings, log *slog.Logger, notify func(e routing.PlanUpdated, until time.Time)) *Loop {
 	if settings.Deadline <= 0 {
 		settings.Deadline = defaultDeadline
@@ -246,7 +247,7 @@
 }
 
 // planUpdate returns the controller's event for a plan: the tandem weights of the own
-// exchange's calls and the value of a circuit of each of its groups.
+// exchange's calls, and the circuit values of its groups as guards.
 func (l *Loop) planUpdate(a replan.Publish) routing.PlanUpdated {
 	e := routing.PlanUpdated{Version: a.Version}
 	for _, w := range a.Answer.TandemWeights(a.Problem) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -140,7 +140,7 @@
 	return inputError{f.lineNumber, field, reason}
 }
 
-// word reads a required field; an absent value is "-".
+// word reads a required field. It returns "-", the mark of an absent value, unchanged.
 func (f *fieldReader) word(field string) (string, error) {
 	if f.rest == "" {
 		return "", f.invalid(field, "missing")
@@ -348,7 +348,8 @@
 	return e, err
 }
 
-// eventReaders has the parser of each event message; nil is returned for one that is ignored.
+// eventReaders holds the parser of each event message. A parser returns nil for a message that
+// is ignored.
 var eventReaders = map[string]func(*host, *instance, *fieldReader) (routing.Event, error){
 	"DISCOVERY": readListUpdated,
 	"JOB_IN":    readOffered,
--- a/routing/controller.go
+++ b/routing/controller.go
@@ -9,10 +9,11 @@
 // Input Buffer of its destination, first come first served. Every tick tests each far
 // processor: 'processor full', a time-out, or a delay or report above the limit fails
 // the tick; without evidence it passes. A passed tick adds K credits up to the cap, a
-// failed tick adds none. A call that waits in the buffer for too long is refused. Calls
-// go direct first, else over the tandem remembered for the destination, which is drawn
-// again at random after a block. Each deviation from this algorithm is marked
-// "Departure" where it is implemented, with what it guards against; docs/design.md
+// failed tick adds none; K is the number of waiting calls or the recent peak of set-ups
+// sent in a passed tick, whichever is larger. A call that waits in the buffer for too long
+// is refused. Calls go direct first, else over the tandem remembered for the destination,
+// which is drawn again at random after a block. Each deviation from this algorithm is
+// marked "Departure" where it is implemented, with what it guards against; docs/design.md
 // lists them.
 package routing
 
@@ -35,10 +36,10 @@
 	tickStep               = 1.03 // factor by which a tick changes, until half of the tests pass
 	maxTickFactor          = 3    // bound of the tick length, as a factor of the initial one, both ways
 	rateTimeConstant       = 10 * time.Second
-	priorityValueRatio     = 2.0 // value per circuit-second, against another class, that gives priority
+	priorityValueRatio     = 2.0 // value per circuit-second, relative to another class's, that gives priority
 	minWindow              = 2   // lower bound of a processor's window, in outstanding attempts
-	alternateBudgetPerCall = 0.5 // blocks allowed per established call; also refunded without a direct group
-	maxTrafficSkew         = 4.0 // bound of the usual traffic to an exchange, against an equal share
+	alternateBudgetPerCall = 0.5 // blocks allowed per established call; also refunded if there is no direct group
+	maxTrafficSkew         = 4.0 // upper bound of the usual traffic to an exchange, in equal shares
 	maxGuardFactor         = 4.0 // factor of a group's reserve where its guard is 1
 )
 
@@ -267,7 +268,7 @@
 	}
 }
 
-// runTimers does all work whose time has come and asks for a timer for the rest.
+// runTimers does all work that is due and asks for a timer for the next.
 func (c *Controller) runTimers() {
 	for len(c.awaitingRelease) > 0 && c.awaitingRelease[0].notBefore <= c.now {
 		call := c.awaitingRelease[0]
@@ -694,14 +695,14 @@
 
 // admitOrBuffer sends an originating set-up if the processor admits it, else buffers the call.
 func (c *Controller) admitOrBuffer(call *callState, proc, buffer *farProcessor) {
-	// Departure: under pressure the last slot of the window is kept for classes that may claim
+	// Departure: under pressure the last slot of the window is reserved for classes that may claim
 	// circuits, which also pass the calls that wait, since a queue delays calls of high value
 	// first. It makes the other classes wait where such calls are most of the traffic.
-	slotKept := proc.lastTickFailed && !c.mayClaim[call.class] &&
+	slotReserved := proc.lastTickFailed && !c.mayClaim[call.class] &&
 		len(proc.outstanding) >= c.windowSize(proc)-1
 	inTurn := len(proc.inputBuffer) == 0 || call.arrived < proc.inputBuffer[0].arrived ||
 		proc.lastTickFailed && c.mayClaim[call.class]
-	if inTurn && !slotKept && c.admits(proc) {
+	if inTurn && !slotReserved && c.admits(proc) {
 		proc.credit = max(0, proc.credit-1)
 		proc.sentThisTick++
 		c.sendRate.add(c.now)
@@ -745,7 +746,7 @@
 // the destination, else another drawn at random; nil if none is usable. An exchange to which this
 // one has many free circuits is likely large and has free circuits to the destination too, where
 // others have few or no group at all, so the draw is weighted by the cube of the free
-// circuits. It overloads a tandem that all exchanges draw.
+// circuits. This overloads a tandem that all exchanges draw.
 //
 // Departure: with a plan the draw is weighted by the plan's weight, which accounts for the second
 // leg and the traffic of other exchanges, times the free circuits of the own group; exchanges
--- a/routing/controller_test.go
+++ b/routing/controller_test.go
@@ -160,7 +160,7 @@
 
 func TestDirectFirstThenRememberedTandem(t *testing.T) {
 	bed := newTestbed(t, testSettings())
-	wantSends(t, "with room", bed.offer("a", 1), "h1")
+	wantSends(t, "with free circuits", bed.offer("a", 1), "h1")
 	bed.reportCircuits(1, 0, 40)
 	first := sentHosts(bed.offer("b", 1))
 	if len(first) != 1 || first[0] == "h1" {
@@ -169,14 +169,14 @@
 	bed.handle(Established{Call: "b", Delay: 50 * ms})
 	for i := range 5 {
 		id := fmt.Sprint("c", i)
-		wantSends(t, "the tandem that worked", bed.offer(id, 1), first[0])
+		wantSends(t, "the remembered tandem", bed.offer(id, 1), first[0])
 		bed.handle(Established{Call: id, Delay: 50 * ms})
 	}
 	bed.offer("d", 1)
 	n := int(first[0][1] - '0')
 	next := sentHosts(bed.endAttempt("d", n, 0, Refused, CauseTurnedBack))
 	if len(next) > 0 && next[0] == first[0] {
-		t.Errorf("after a block the call went to %v again", next)
+		t.Errorf("after a block: sent to %v again", next)
 	}
 }
 
@@ -257,19 +257,19 @@
 
 // Rule 1: every call gets exactly one final answer before it expires, in any state.
 func TestEveryCallIsAnsweredOnceInItsTime(t *testing.T) {
-	for _, left := range []time.Duration{10 * ms, 60 * ms, 200 * ms, 381 * ms, 3 * time.Second} {
+	for _, timeLeft := range []time.Duration{10 * ms, 60 * ms, 200 * ms, 381 * ms, 3 * time.Second} {
 		bed := newTestbed(t, testSettings())
 		proc := bed.c.byHost["h1"]
 		proc.credit, proc.tickFailed = 0, true
 		proc.tickLength = 3 * bed.c.initialTick // a long tick must not keep a call past its expiry
 		proc.nextTick = bed.now + proc.tickLength
-		end := bed.now + left
+		end := bed.now + timeLeft
 		bed.handle(Offered{Call: "a", Dest: 1, Width: 1, Expires: end})
 		for bed.now < end && len(finalAnswers(bed.actions)) == 0 {
 			proc.tickFailed = true
 			bed.advance(5 * ms)
 		}
-		wantFinalAnswers(t, fmt.Sprint("buffered with ", left, " left"), bed.actions, "a")
+		wantFinalAnswers(t, fmt.Sprint("buffered with ", timeLeft, " left"), bed.actions, "a")
 	}
 	bed := newTestbed(t, testSettings())
 	bed.offer("b", 1)
@@ -357,7 +357,7 @@
 	offerTransit := func(id string) []Action {
 		return bed.handle(Offered{Call: id, Dest: 3, Width: 1, Transit: true, Expires: bed.now + time.Second})
 	}
-	wantSends(t, "with room", offerTransit("a"), "h3")
+	wantSends(t, "with free circuits", offerTransit("a"), "h3")
 	bed.reportCircuits(3, 3, 40)
 	wantFinalAnswers(t, "few circuits free", offerTransit("b"), "b")
 	wantSends(t, "a direct call takes them", bed.offer("c", 3), "h3")
@@ -469,7 +469,7 @@
 	}
 	calls := map[string]*expectedCall{}
 	var order []string
-	draining := map[string]bool{} // hosts that are not ready
+	notReady := map[string]bool{} // hosts that are not ready
 	check := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
@@ -480,7 +480,7 @@
 					t.Fatalf("%s: sent while an attempt is outstanding", a.Call)
 				case call.answered:
 					t.Fatalf("%s: sent after its final answer", a.Call)
-				case draining[a.Host]:
+				case notReady[a.Host]:
 					t.Fatalf("%s: sent to %s, which is draining or removed", a.Call, a.Host)
 				case bed.now < call.notBefore:
 					t.Fatalf("%s: sent before the release delay ended", a.Call)
@@ -518,7 +518,7 @@
 		if rng.IntN(300) == 0 {
 			exchange := 1 + rng.IntN(3)
 			state := State(rng.IntN(3))
-			draining[host(exchange)] = state != Ready
+			notReady[host(exchange)] = state != Ready
 			check(bed.handle(ListUpdated{Entries: []ListEntry{{Host: host(exchange), Exchange: exchange, State: state, Started: bed.now}}}))
 		}
 		if rng.IntN(5) == 0 {
@@ -598,7 +598,7 @@
 	wantFinalAnswers(t, "no free agent in any pool of its class", bed.offer("c", 1), "c")
 }
 
-func TestModuleLimits(t *testing.T) {
+func TestControllerFileLimits(t *testing.T) {
 	f, err := os.Open("controller.go")
 	if err != nil {
 		t.Fatal(err)
@@ -904,12 +904,12 @@
 // window must stay within the budget.
 func TestFleetKeepsAColdProcessorWithinItsBudget(t *testing.T) {
 	const fleet = 60
-	var rigs []*testbed
+	var beds []*testbed
 	for i := range fleet {
-		rigs = append(rigs, newLargeTestbed(t, fleet, uint64(i)))
+		beds = append(beds, newLargeTestbed(t, fleet, uint64(i)))
 	}
 	step := func(d time.Duration, dest func(i, n int) int, n int) (sent int) {
-		for i, bed := range rigs {
+		for i, bed := range beds {
 			id := fmt.Sprint("c", n)
 			actions := bed.offer(id, dest(i, n))
 			for _, h := range sentHosts(actions) {
@@ -928,11 +928,11 @@
 	for n := range 200 {
 		step(100*ms, func(i, n int) int { return 2 + (7*i+n)%(fleet-2) }, n)
 	}
-	for _, bed := range rigs {
+	for _, bed := range beds {
 		bed.handle(ListUpdated{Entries: []ListEntry{{Host: "h1", Exchange: 1, Started: bed.now}}})
 	}
 	settings := testSettings()
-	perSec := rigs[0].c.sendRate.at(rigs[0].now)
+	perSec := beds[0].c.sendRate.at(beds[0].now)
 	budget := settings.OverloadFactor * settings.ColdCapacity * 2 * perSec * settings.OverloadWindow.Seconds()
 	sent := 0
 	for n := range int(settings.OverloadWindow / (100 * ms)) {
@@ -992,7 +992,7 @@
 }
 
 // A refusal carries the time of the next redial, so that the caller need not redial at once.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	settings := testSettings()
 	bed := newTestbed(t, settings)
 	for _, a := range bed.offer("a", 99) {
--- a/routing/interface.go
+++ b/routing/interface.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Settings are the constant settings of a controller. A zero value is valid except
-// where New returns an error for it.
+// Settings are the constant settings of a controller. The zero value of a field is valid
+// unless New returns an error for it.
 type Settings struct {
 	OwnExchange int     // number of the controller's exchange; -1 in pool mode
 	FleetSize   int     // number of controllers in the network, this one included
@@ -16,9 +16,9 @@
 	Classes     []Class // at least one
 
 	MaxAttempts       int           // sends per call, at least 1
-	ReleaseDelay      time.Duration // wait after a time-out, reset or cancel before the next send
-	ResendInterval    time.Duration // a waiting set-up is repeated after this; 0: never
-	WarmUpTime        time.Duration // a started processor is warm after this at the latest
+	ReleaseDelay      time.Duration // wait after a time-out, reset or cancel before the call's next send
+	ResendInterval    time.Duration // an unanswered set-up is repeated after this; 0: never
+	WarmUpTime        time.Duration // time after which a started processor is warm at the latest
 	ColdCapacity      float64       // share of its capacity that a started processor has, at least
 	OverloadFactor    float64       // multiple of its capacity above which a cold processor breaks down ...
 	OverloadWindow    time.Duration // ... if the load lasts for this long
@@ -48,13 +48,13 @@
 	Number   string        // called number; "": unknown
 	Dest     int           // destination exchange, or the pool of first choice
 	Width    int           // circuits on each trunk group
-	Expires  time.Duration // clock time at which the caller gives this try up
+	Expires  time.Duration // clock time at which the caller gives up this try
 	Transit  bool          // passed on by another controller: only the last leg is left to set up
 	Redial   bool          // the caller marked it as a redial
 	AfterCut bool          // it was established, was cut off, and is offered again
 }
 
-// Established reports that an attempt was answered. Its call needs no final answer any more.
+// Established reports that an attempt was answered. Its call no longer needs a final answer.
 type Established struct {
 	Call    string
 	Attempt int           // index of the call's Send, from 0
@@ -69,17 +69,18 @@
 	Result     Result
 	Cause      Cause
 	RetryAfter time.Duration // with CauseProcessorFull: the wait that the processor asks for; 0: none
-	CallEnded  bool          // the call needs no final answer any more
+	CallEnded  bool          // the call no longer needs a final answer
 	Delay      time.Duration // since the send
 	Report     Report
 }
 
-// Withdrawn reports that the caller left. The call needs no final answer any more.
+// Withdrawn reports that a call was given up, usually by its caller. The call no longer
+// needs a final answer.
 type Withdrawn struct{ Call string }
 
 // ListUpdated carries the list of exchanges, or changes to it.
 type ListUpdated struct {
-	Complete bool // Entries is the whole list: hosts that it lacks have left
+	Complete bool // Entries is the whole list: hosts that are not in it were removed
 	Failed   bool // the list could not be read; Entries is empty
 	Entries  []ListEntry
 }
@@ -108,19 +109,21 @@
 	Guards     []Guard
 }
 
-// Weight rates a tandem for calls to a destination, relative to the other tandems for it:
-// the traffic that the plan sends over it, and the spare circuits beyond the own group.
-// Only weights above 0 count; a tandem without one is used if no other is usable.
+// Weight is the weight of a tandem when a tandem for a call to Dest is drawn at random. It
+// grows with the traffic that the plan routes over the tandem and with the spare circuits
+// between the tandem and Dest. Only weights above 0 count; a tandem without one is used
+// only if no tandem with one is usable.
 type Weight struct {
 	Dest, Tandem int
 	Weight       float64
 }
 
-// Guard is the value of a circuit of the own group toward an exchange to direct
-// calls, relative to the most valuable call that could use it: 0 to 1.
+// Guard is the value of a circuit of the own group toward an exchange; package decide/plan
+// calls it CircuitValue. The higher it is, the more circuits of the group are reserved for
+// direct calls.
 type Guard struct {
-	Toward int // exchange
-	Value  float64
+	Toward int     // exchange
+	Value  float64 // relative to the most valuable call that could use the circuit: 0 to 1
 }
 
 // TimerFired reports that the time of a SetTimer has passed.
@@ -199,7 +202,7 @@
 	Failed                   // signalling fault, or the number was busy; see Cause
 	Refused                  // refused by the destination or turned back by a tandem; see Cause
 	TimedOut                 // no answer within the send's time-out
-	NotReached               // no connection: the far processor never received it
+	NotReached               // no connection: the far processor never received the set-up
 	Reset                    // the connection was lost during set-up, or cut the established call
 	Cancelled                // cancelled by the controller, or released by the caller
 	NotSent                  // no set-up was sent
@@ -212,7 +215,7 @@
 const (
 	CauseNone            Cause = iota
 	CauseNoCircuit             // no free circuit or agent
-	CauseTurnedBack            // the tandem turned the call back for another reason than CauseDestinationFull
+	CauseTurnedBack            // turned back by the tandem for a reason other than CauseDestinationFull
 	CauseProcessorFull         // processor full; with NotSent, the own processor is down
 	CauseNumberBusy            // every line of the number is busy
 	CauseDestinationFull       // turned back by the tandem, since the destination's processor was full
@@ -248,8 +251,8 @@
 	Timeout time.Duration
 }
 
-// Refuse is the final answer "refused". RetryAfter is the wait after which a redial is worth
-// trying.
+// Refuse is the final answer "refused". RetryAfter is how long the caller should wait before
+// a redial.
 type Refuse struct {
 	Call       string
 	RetryAfter time.Duration
