--- a/routing/controller.go
+++ b/routing/controller.go
@@ -38,7 +38,7 @@
 	rateTimeConstant       = 10 * time.Second
 	priorityValueRatio     = 2.0 // value per circuit-second, relative to another class's, that gives priority
 	minWindow              = 2   // lower bound of a processor's window, in outstanding attempts
-	alternateBudgetPerCall = 0.5 // blocks allowed per established call; also refunded if there is no direct group
+	alternateBudgetPerCall = 0.5 // blocks allowed per established call; also refunded without a direct group
 	maxTrafficSkew         = 4.0 // upper bound of the usual traffic to an exchange, in equal shares
 	maxGuardFactor         = 4.0 // factor of a group's reserve where its guard is 1
 )
