--- a/decide/duty/duty.go
+++ b/decide/duty/duty.go
@@ -1,7 +1,7 @@
 // Package duty distributes periodic duties among instances. State is the replicated
 // part: instances that apply the same log entries in the same order have the same state.
 // Agent is the local part of one instance: it decides which runs to start and stop. Sink
-// is the fence, kept where a duty's effect takes place. None of them does I/O or reads a
+// is the fence, stored where a duty's effect takes place. None of them does I/O or reads a
 // clock. docs/cluster.md defines what "once" means.
 //
 // Times are durations since an origin that the host chooses; the log's time is set by its
--- a/decide/plan/weights.go
+++ b/decide/plan/weights.go
@@ -27,8 +27,8 @@
 // direct group full are best distributed over the tandems. Before it is normalized, a
 // weight is the planned traffic via the tandem, in erlangs, plus the spare capacity of the
 // second leg, reduced by the utilization of the tandem's processor. The first leg's spare
-// capacity doesn't count, since the exchange that uses the weights knows it better. Tandems
-// with neither are omitted.
+// capacity doesn't count, since the exchange that uses the weights knows its own free
+// circuits. Tandems with neither are omitted.
 func (a *Answer) TandemWeights(p *Problem) []TandemWeight {
 	classes := map[string]Class{}
 	for _, c := range p.Classes {
--- a/routing/controller.go
+++ b/routing/controller.go
@@ -553,8 +553,8 @@
 func (proc *farProcessor) onTrial() bool { return proc.trialBackoff.interval > 0 }
 
 // expectedRate returns the originating set-ups per second that one controller may expect to
-// send to a processor. One half is an equal share for each controller, the other follows the
-// usual demand of this exchange's callers. A processor originates about as many
+// send to a processor: an equal share for each controller, plus the usual demand of this
+// exchange's callers, up to maxTrafficSkew equal shares. A processor originates about as many
 // calls as end at it, so the rate of this exchange is an estimate for the others.
 func (c *Controller) expectedRate(proc *farProcessor) float64 {
 	equalShare := max(c.sendRate.at(c.now), 1) / float64(max(c.settings.FleetSize, 1))
