--- a/arch_test.go
+++ b/arch_test.go
@@ -14,13 +14,13 @@
 
 const module = "violetspan.example/violetspan/"
 
-// Which package may import what. Paths are prefixes; the first rule that fits a
-// folder holds.
+// Import rules by package. Paths are prefixes; the first rule that matches a folder
+// applies.
 var layers = []struct {
 	folder string
-	ours   []string // of this module
-	no     []string // of all others
-	pure   bool     // no goroutine, no clock of its own
+	ours   []string // allowed imports from this module
+	no     []string // forbidden imports from elsewhere
+	pure   bool     // starts no goroutine and doesn't read the clock
 }{
 	{"routing", nil, []string{"net", "os", "log", "sync", "github.com", "golang.org", "gonum.org", "go.yaml.in"}, true},
 	{"decide", []string{"routing", "decide"}, []string{"net", "os", "log", "sync", "go.yaml.in", "golang.org"}, true},
@@ -37,8 +37,8 @@
 	{"example", nil, nil, false},
 }
 
-// Arrows run down only: cmd over internal/proxy over the fronts over the core over
-// decide and routing, and what decides does no I/O.
+// Dependencies point down only: cmd > internal/proxy > the servers > the core > decide
+// and routing. Deciding packages do no I/O.
 func TestLayers(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
--- a/cmd/violetspan/inventory.go
+++ b/cmd/violetspan/inventory.go
@@ -20,8 +20,8 @@
 	inv, err := inventory.Load(c.Files...)
 	var all inventory.Errors
 	if errors.As(err, &all) {
-		for _, f := range all {
-			fmt.Fprintln(os.Stderr, f)
+		for _, e := range all {
+			fmt.Fprintln(os.Stderr, e)
 		}
 		return fmt.Errorf("%w: %d errors", errConfig, len(all))
 	} else if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -52,11 +52,11 @@
 	MaxSockets     *int     `json:"max_sockets"`
 }
 
-func (l tenantFields) apply(s *tenant.Spec) {
-	setIfPresent(&s.Disabled, l.Disabled)
-	setIfPresent(&s.MaxCalls, l.MaxCalls)
-	setIfPresent(&s.CallsPerSecond, l.CallsPerSecond)
-	setIfPresent(&s.MaxSockets, l.MaxSockets)
+func (f tenantFields) apply(s *tenant.Spec) {
+	setIfPresent(&s.Disabled, f.Disabled)
+	setIfPresent(&s.MaxCalls, f.MaxCalls)
+	setIfPresent(&s.CallsPerSecond, f.CallsPerSecond)
+	setIfPresent(&s.MaxSockets, f.MaxSockets)
 }
 
 func setIfPresent[T any](to, from *T) {
--- a/internal/callapi/server.go
+++ b/internal/callapi/server.go
@@ -279,8 +279,8 @@
 	return true
 }
 
-// stateOf returns the state of a tenant, and creates it if there is none; dropIfEmpty
-// removes it. srv.mu must be held for both.
+// stateOf returns the state of a tenant, and creates it if there is none. srv.mu must be
+// held.
 func (srv *Server) stateOf(tenant string) *tenantState {
 	if srv.tenants == nil {
 		srv.tenants = map[string]*tenantState{}
@@ -291,6 +291,7 @@
 	return srv.tenants[tenant]
 }
 
+// dropIfEmpty removes the state of a tenant without calls and sockets. srv.mu must be held.
 func (srv *Server) dropIfEmpty(tenant string) {
 	if ts := srv.tenants[tenant]; ts != nil && len(ts.calls) == 0 && len(ts.sockets) == 0 {
 		delete(srv.tenants, tenant)
@@ -424,7 +425,7 @@
 }
 
 // addUsage changes the stored usage of the call, of its tenant and of the server. The
-// arguments may be negative.
+// arguments may be negative. server.mu must be held.
 func (c *call) addUsage(calls, bytes int) {
 	c.bytes += bytes
 	c.server.stored.add(calls, bytes)
@@ -491,7 +492,7 @@
 }
 
 // setFinalAnswer stores the final answer of the call and queues it. It returns false if the
-// call already has one. server.mu must be held, as for end.
+// call already has one. server.mu must be held.
 func (c *call) setFinalAnswer(m message) bool {
 	if c.state != pending {
 		return false
@@ -512,7 +513,7 @@
 }
 
 // end ends an established call and notifies its sockets; if it has none, all sockets of the
-// tenant, or else the next one that connects.
+// tenant, or else the next one that connects. server.mu must be held.
 func (c *call) end(reason string) {
 	if c.state != established {
 		return
@@ -545,7 +546,7 @@
 	})
 }
 
-// errGivenUp tells the core that the answer can't be delivered.
+// errGivenUp reports to the core that the answer can't be delivered.
 var errGivenUp = errors.New("the call was given up")
 
 // Answer implements core.Caller, as do Refuse, Fail and Release.
--- a/internal/callapi/server_test.go
+++ b/internal/callapi/server_test.go
@@ -115,7 +115,7 @@
 
 // Guards against a tenant that fills the storage with new call IDs until the calls of other
 // tenants are refused.
-func TestOneTenantCantTakeTheRoomOfAll(t *testing.T) {
+func TestStorageIsLimitedPerTenant(t *testing.T) {
 	_, fake, dial := newTestServer(t, 2*tenantStorageDivisor)
 	c := dial("acme")
 	for n := range 10 {
@@ -144,7 +144,7 @@
 
 // Guards against stored answers that use all memory: their size in bytes is limited, and
 // all of it is released when the calls are removed.
-func TestWhatIsKeptIsCountedInBytes(t *testing.T) {
+func TestStorageIsLimitedInBytes(t *testing.T) {
 	srv, fake, dial := newTestServer(t, 1000)
 	srv.AnswerRetention = time.Nanosecond
 	c := dial("acme")
@@ -187,7 +187,7 @@
 }
 
 // Guards against memory that is never released for tenants that have disconnected.
-func TestNothingIsHeldForATenantThatIsGone(t *testing.T) {
+func TestStateOfDisconnectedTenantIsDeleted(t *testing.T) {
 	srv, _, dial := newTestServer(t, 1000)
 	c := dial("acme")
 	if err := c.Write(t.Context(), websocket.MessageText, []byte(`{"type":"release","call":"a"}`)); err != nil {
--- a/internal/callapi/switchconn.go
+++ b/internal/callapi/switchconn.go
@@ -54,7 +54,7 @@
 
 // Read reads the next message. An unreadable message is an error, which ends the connection:
 // it may concern any call, whereas the effect of a reset on the calls is known. A message
-// that no switch sends is an error, too: it may be a corrupted answer.
+// of a type that switches don't send is an error, too: it may be a corrupted answer.
 func (s *switchConn) Read() (trunk.Event, error) {
 	m, err := read(s.ctx, s.conn, trunk.MessageTimeout)
 	if err != nil {
@@ -68,7 +68,7 @@
 	if m.Type != typeGroup && m.Type != typeError {
 		b, err := hex.DecodeString(m.Call)
 		if err != nil || len(b) != 8 {
-			return ev, badMessageError{fmt.Sprintf("call: %q is no id of this proxy", truncate(m.Call))}
+			return ev, badMessageError{fmt.Sprintf("call: %q is not an id of this proxy", truncate(m.Call))}
 		}
 		ev.Call, _ = strconv.ParseUint(m.Call, 16, 64)
 	}
@@ -93,15 +93,15 @@
 		}
 	case typeGroup:
 		if m.Free == nil || m.Size == nil || *m.Free < 0 || *m.Size < *m.Free {
-			ev.Warning = errors.New("group: free and size are wanted")
+			ev.Warning = errors.New("group: free and size are missing or out of range")
 			return ev, nil
 		}
 		ev.Kind, ev.Report = trunk.Group, routing.NoReport
 		ev.Report.Free, ev.Report.Size = *m.Free, *m.Size
 	case typeError:
-		ev.Warning = fmt.Errorf("the switch says: %s %.200s", m.Code, m.Detail)
+		ev.Warning = fmt.Errorf("error reported by the switch: %s %.200s", m.Code, m.Detail)
 	default:
-		return ev, badMessageError{fmt.Sprintf("type: %q is no message of a switch", truncate(m.Type))}
+		return ev, badMessageError{fmt.Sprintf("type: %q is not a message that a switch sends", truncate(m.Type))}
 	}
 	return ev, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -322,9 +322,9 @@
 	return &reader{root: jsoniter.Get(b)}, nil
 }
 
-func (r *reader) fail(key, why string) {
+func (r *reader) fail(key, reason string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("key %s: %s", key, why)
+		r.err = fmt.Errorf("key %s: %s", key, reason)
 	}
 }
 
@@ -451,19 +451,19 @@
 	}
 	for i := range n {
 		key := prefix + "classes." + strconv.Itoa(i) + "."
-		k := routing.Class{
+		class := routing.Class{
 			GoalTime: r.milliseconds(key+"goalTimeMs", 0), Deadline: r.milliseconds(key+"deadlineMs", 0), Worth: r.number(key+"worth", 1, 0, maxInt),
 			Width: r.integer(prefix+"extra.widths."+strconv.Itoa(i), 1, 1, maxInt),
 			Hold:  r.milliseconds(prefix+"extra.classHoldMs."+strconv.Itoa(i), 0),
 		}
 		pools := prefix + "extra.skilledPools." + strconv.Itoa(i)
 		for j := range r.get(pools).Size() {
-			k.Pools = append(k.Pools, r.integer(pools+"."+strconv.Itoa(j), 0, 0, maxInt))
+			class.Pools = append(class.Pools, r.integer(pools+"."+strconv.Itoa(j), 0, 0, maxInt))
 		}
-		if k.GoalTime <= 0 {
+		if class.GoalTime <= 0 {
 			r.fail(key+"goalTimeMs", "must be above 0")
 		}
-		if k.Deadline <= 0 {
+		if class.Deadline <= 0 {
 			r.fail(key+"deadlineMs", "must be above 0")
 		}
 		name := r.stringOr(key+"name", "")
@@ -471,7 +471,7 @@
 			r.fail(key+"name", fmt.Sprintf("%q is empty or a duplicate", name))
 		}
 		s.Classes[name] = i
-		s.Routing.Classes = append(s.Routing.Classes, k)
+		s.Routing.Classes = append(s.Routing.Classes, class)
 	}
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -157,7 +157,7 @@
 
 // Guards against limits that exceed a small machine: connections, open set-ups and calls
 // may each take at most a quarter of the memory, and connections half of the descriptors.
-func TestBoundsFollowTheLimits(t *testing.T) {
+func TestResourceLimits(t *testing.T) {
 	for _, c := range []struct {
 		memory, sockets int
 		want            ResourceLimits
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -113,8 +113,8 @@
 		return cmp.Or(slices.Index(r.files, a.file)-slices.Index(r.files, b.file), a.line-b.line)
 	})
 	var errs Errors
-	for _, f := range r.errs {
-		errs = append(errs, f.err)
+	for _, e := range r.errs {
+		errs = append(errs, e.err)
 	}
 	return nil, errs
 }
@@ -442,7 +442,7 @@
 	return nil
 }
 
-// kindByGroup maps the groups of a YAML inventory to the kind of their entries.
+// kindByGroup maps the Ansible groups of a YAML inventory to the kind of their entries.
 var kindByGroup = map[string]string{"switches": kindSwitch, "tenants": kindTenant, "groups": kindGroup, "classes": kindClass, "demands": kindDemand}
 
 // readYAML reads the format of Ansible's YAML inventories: all, children, groups, hosts
@@ -470,7 +470,7 @@
 	})
 }
 
-// readGroup reads the hosts of one group.
+// readGroup reads the hosts of one Ansible group as entries of a kind.
 func (r *reader) readGroup(kind, group string, g *yaml.Node) error {
 	defaults := map[string]value{}
 	var hosts *yaml.Node
--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -12,7 +12,7 @@
 type groupEntry struct {
 	group plan.Group
 	position
-	listedBy   [2]bool  // whether the end first by name, and the other, has listed it
+	listedBy   [2]bool  // whether each end, in the order of their names, has listed it
 	circuitsAt position // where its circuits are given
 }
 
--- a/internal/inventory/plan_test.go
+++ b/internal/inventory/plan_test.go
@@ -91,15 +91,15 @@
 	}
 	for a := range n {
 		for b := range a {
-			c := fmt.Sprint(r.IntN(40))
+			circuits := fmt.Sprint(r.IntN(40))
 			cost := maybe(nil, "cost", num())
 			one, two := fmt.Sprint("s", a), fmt.Sprint("s", b)
 			switch r.IntN(3) {
 			case 0:
-				out = append(out, row{"group", one + "-" + two, append([][2]string{{"a", one}, {"b", two}, {"circuits", c}}, cost...)})
+				out = append(out, row{"group", one + "-" + two, append([][2]string{{"a", one}, {"b", two}, {"circuits", circuits}}, cost...)})
 			case 1:
-				out = append(out, row{"group", one + ">" + two, append([][2]string{{"at", one}, {"toward", two}, {"circuits", c}}, cost...)},
-					row{"group", two + ">" + one, append([][2]string{{"at", two}, {"toward", one}, {"circuits", c}}, cost...)})
+				out = append(out, row{"group", one + ">" + two, append([][2]string{{"at", one}, {"toward", two}, {"circuits", circuits}}, cost...)},
+					row{"group", two + ">" + one, append([][2]string{{"at", two}, {"toward", one}, {"circuits", circuits}}, cost...)})
 			}
 			if r.IntN(2) == 0 {
 				out = append(out, row{"demand", "d-" + one + two, maybe([][2]string{{"class", "c0"}, {"from", one}, {"to", two}, {"calls_per_second", "9.5"}}, "must_per_second", "1.5")})
@@ -107,7 +107,7 @@
 		}
 	}
 	r.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	// YAML groups the entries by kind; within a kind both formats have the same order.
+	// The YAML file groups the entries by kind; within a kind both files have the same order.
 	return out
 }
 
@@ -115,29 +115,29 @@
 func TestGeneratedPairs(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for k := range 300 {
-		rs := randomRows(r)
-		a, err := Parse("a.csv", []byte(asCSV(rs)))
-		b, err2 := Parse("a.yaml", []byte(asYAML(rs)))
+		rows := randomRows(r)
+		fromCSV, err := Parse("a.csv", []byte(asCSV(rows)))
+		fromYAML, err2 := Parse("a.yaml", []byte(asYAML(rows)))
 		if err != nil || err2 != nil {
-			t.Fatalf("%d: %v %v\n%s\n%s", k, err, err2, asCSV(rs), asYAML(rs))
+			t.Fatalf("%d: %v %v\n%s\n%s", k, err, err2, asCSV(rows), asYAML(rows))
 		}
-		if diff := cmp.Diff(a, b); diff != "" {
+		if diff := cmp.Diff(fromCSV, fromYAML); diff != "" {
 			t.Fatalf("%d: (-csv +yaml)\n%s", k, diff)
 		}
 		dir := t.TempDir()
 		one, two := filepath.Join(dir, "one.csv"), filepath.Join(dir, "two.yaml")
-		cut := r.IntN(len(rs) + 1)
-		if os.WriteFile(one, []byte(asCSV(rs[:cut])), 0o600) != nil || os.WriteFile(two, []byte(asYAML(rs[cut:])), 0o600) != nil {
+		cut := r.IntN(len(rows) + 1)
+		if os.WriteFile(one, []byte(asCSV(rows[:cut])), 0o600) != nil || os.WriteFile(two, []byte(asYAML(rows[cut:])), 0o600) != nil {
 			t.Fatal("inventory files could not be written")
 		}
-		c, err := Load(one, two)
+		fromBoth, err := Load(one, two)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(a.Plan.Groups, c.Plan.Groups); diff != "" || len(a.Plan.Demands) != len(c.Plan.Demands) {
+		if diff := cmp.Diff(fromCSV.Plan.Groups, fromBoth.Plan.Groups); diff != "" || len(fromCSV.Plan.Demands) != len(fromBoth.Plan.Demands) {
 			t.Fatal(k, diff)
 		}
-		if errs := a.Plan.Check(); len(errs) > 0 {
+		if errs := fromCSV.Plan.Check(); len(errs) > 0 {
 			t.Fatal(k, errs)
 		}
 	}
@@ -163,7 +163,7 @@
         one: {class: video, from: lot-a, to: lot-b, calls_per_second: 2, must_per_second: 1}
 `
 
-func TestPlanFaults(t *testing.T) {
+func TestPlanErrors(t *testing.T) {
 	got, err := Parse("p.yaml", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 }
 
 // All errors are reported, each with its line, not only the first.
-func TestEveryFault(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	text := strings.NewReplacer("circuits: 30", "circuits: many", "width: 4", "width: 0", "from: lot-a", "from: lot-z",
 		"exchange: 1", "exchange: one").Replace(planText)
 	_, err := Parse("p.yaml", []byte(text))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics defines a proxy's metrics. They are exposed at the administration API's
-// /metrics and logged by proxies that are not scraped.
+// /v1/metrics and logged by proxies that are not scraped.
 //
 // Every label has a fixed set of values. Ids, addresses and texts from peers are never
 // used as label values.
--- a/internal/proxy/mixed_test.go
+++ b/internal/proxy/mixed_test.go
@@ -23,7 +23,7 @@
 type callChecker struct {
 	t  *testing.T
 	mu sync.Mutex
-	// By number:
+	// By called number, except attempts and drainTime:
 	outstanding  map[string]string // switch with an outstanding attempt
 	notBefore    map[string]time.Time
 	descriptions map[string]map[string]bool // descriptions in the switches' answers
@@ -170,20 +170,20 @@
 					}
 					return
 				}
-				n := numbers[m.Call]
+				number := numbers[m.Call]
 				switch m.Type {
 				case sig.SetUp:
-					n = string(m.Get(sig.ParamNumber))
-					numbers[m.Call] = n
-					action, description := checker.attemptStarted(sw.name, n)
+					number = string(m.Get(sig.ParamNumber))
+					numbers[m.Call] = number
+					action, description := checker.attemptStarted(sw.name, number)
 					switch action {
 					case "answer":
-						checker.attemptEnded(sw.name, n, false)
+						checker.attemptEnded(sw.name, number, false)
 						send(sig.Message{Type: sig.Answer, Call: m.Call, Params: []sig.Param{{Code: sig.ParamDescription, Value: []byte(description)}}})
 						time.AfterFunc(20*time.Millisecond, func() { sender.send(m.Call) })
 					case "full", "fault":
 						cause := map[string]byte{"full": sig.CauseNoCircuit, "fault": sig.CauseResourceUnavailable}[action]
-						checker.attemptEnded(sw.name, n, false)
+						checker.attemptEnded(sw.name, number, false)
 						send(sig.Message{Type: sig.Release, Call: m.Call, Params: []sig.Param{
 							{Code: sig.ParamCauseDetail, Value: []byte("no_path")}, {Code: sig.ParamCause, Value: []byte{cause}}}})
 					case "break":
@@ -193,7 +193,7 @@
 						return
 					}
 				case sig.Release:
-					checker.attemptEnded(sw.name, n, false) // the backoff began before the release was read
+					checker.attemptEnded(sw.name, number, false) // the backoff began before the release was read
 				}
 			}
 		}()
@@ -242,7 +242,7 @@
 
 // runBinaryCaller offers calls on one connection, with random waits, and checks their answers.
 func (checker *callChecker) runBinaryCaller(s *script, first uint64, calls int) error {
-	c, err := net.Dial("tcp", s.p.CallAddr.String())
+	c, err := net.Dial("tcp", s.proxy.CallAddr.String())
 	if err != nil {
 		return err
 	}
@@ -293,7 +293,7 @@
 	defer cancel()
 	firstAnswers, ended := map[string]string{}, 0 // first answer to each call, by its id
 	for from := first; from < first+uint64(calls); from += 50 {
-		c, _, err := dialAPI(ctx, s.p, testToken)
+		c, _, err := dialAPI(ctx, s.proxy, testToken)
 		if err != nil {
 			return err
 		}
@@ -314,7 +314,7 @@
 			time.Sleep(4 * time.Millisecond)
 		}
 		c.CloseNow() // gives up the calls that have no answer yet
-		if c, _, err = dialAPI(ctx, s.p, testToken); err != nil {
+		if c, _, err = dialAPI(ctx, s.proxy, testToken); err != nil {
 			return err
 		}
 		for id := from; id < from+50; id++ {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -47,8 +47,8 @@
 	return [...]string{"starting", "serving", "grace", "finishing", "stopped"}[p]
 }
 
-// Timing of a shutdown. After the platform requests it, it sends new calls for another
-// 0.6 s. It kills the process no earlier than the longest deadline, capped at
+// Timing of a shutdown. The platform sends new calls for another 0.6 s after it has
+// requested the shutdown. It kills the process no earlier than the longest deadline, capped at
 // maxCountedDeadline, plus killDelay after the request; until then callers use their open
 // connections. A call is lost if the proxy exits, or is killed, while the final answer is
 // pending.
@@ -233,8 +233,9 @@
 }
 
 // finish waits for the final answers and forwards releases until exitTime. Calls that are
-// still established then are left to the next proxy, which forwards their releases. Calls
-// at a switch that may be gone are ended instead, because no release will come for them.
+// still established then are left to the next proxy, which forwards their releases. Calls at
+// silent switches whose probes fail are ended instead: if the switch's process has exited,
+// no release will come for them.
 func (p *Proxy) finish(serveCtx context.Context, exitTime time.Time) {
 	answerDeadline := exitTime.Add(-unverifiedCallsTime)
 	if p.platform == nil { // there is no kill to anticipate
@@ -318,8 +319,8 @@
 		p.api = &callapi.Server{Handler: p.core, Tenants: p.tenants, Log: p.log, AnswerRetention: serviceConfig.AnswerRetention,
 			MaxStoredCalls: serviceConfig.MaxStoredCalls, MaxStoredBytes: maxStoredBytes, Destinations: maxDestinations, Classes: map[string]callapi.Class{}}
 		if p.platform != nil {
-			b := p.platform.ResourceLimits()
-			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(serviceConfig.MaxStoredCalls, b.MaxStoredCalls), min(maxStoredBytes, b.MaxStoredBytes)
+			limits := p.platform.ResourceLimits()
+			p.api.MaxStoredCalls, p.api.MaxStoredBytes = min(serviceConfig.MaxStoredCalls, limits.MaxStoredCalls), min(maxStoredBytes, limits.MaxStoredBytes)
 		}
 		for name, i := range settings.Classes {
 			p.api.Classes[name] = callapi.Class{Index: i, Width: settings.Routing.Classes[i].Width}
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -21,14 +21,14 @@
 // on loopback. It returns the share of the worth that was established in time.
 func playDay(t *testing.T, cfg mesh.Config, events []routing.PlanUpdated) float64 {
 	t.Helper()
-	n := cfg.Exchanges
+	exchanges := cfg.Exchanges
 	testbed := standin.NewMesh(cfg)
 	defer testbed.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	done := make(chan error, n)
-	for x := range n {
-		addrs, err := testbed.OpenSwitches(x)
+	done := make(chan error, exchanges)
+	for exchange := range exchanges {
+		addrs, err := testbed.OpenSwitches(exchange)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,9 +40,9 @@
 			{"name":"shuttle-video","goalTimeMs":2500,"deadlineMs":9000,"worth":2}],
 			"extra":{"here":%d,"topology":"meshed","releaseMs":500,"resendMs":800,"widths":[1,4],"classHoldMs":[%d,%d]},
 			"limits":{"mostTries":5,"cancel":true,"dialTimeoutMs":500},"rules":{"answerSlackMs":20,"coldShare":0.29,"rampTimeMs":15000,"fallMultiple":4,"overloadForMs":2000},
-			"realms":[{"name":"main-lot"}]}`, n, x, cfg.Classes[0].Hold.Milliseconds(), cfg.Classes[1].Hold.Milliseconds())
+			"realms":[{"name":"main-lot"}]}`, exchanges, exchange, cfg.Classes[0].Hold.Milliseconds(), cfg.Classes[1].Hold.Milliseconds())
 		platformConfig, err := config.Parse(fmt.Appendf(nil, `{"name":"n%d","listen":"127.0.0.1:0","seed":"%x","channel":"127.0.0.1:9","limits":{"sockets":1024},
-			"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"complete":true,"members":[%s]}}]},"settings":%s}`, x, cfg.Seed*100+uint64(x), strings.Join(members, ","), settings))
+			"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"complete":true,"members":[%s]}}]},"settings":%s}`, exchange, cfg.Seed*100+uint64(exchange), strings.Join(members, ","), settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,14 +58,14 @@
 			t.Fatal("proxy not ready before the timeout")
 		}
 		if events != nil {
-			p.core.ApplyPlan(events[x], time.Now().Add(time.Hour))
+			p.core.ApplyPlan(events[exchange], time.Now().Add(time.Hour))
 		}
-		if err := testbed.ConnectCallers(x, p.CallAddr.String()); err != nil {
+		if err := testbed.ConnectCallers(exchange, p.CallAddr.String()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	testbed.Run()
-	// Pending calls are answered by their deadline; established ones end with their hold time.
+	// Pending calls are answered by their deadline; established ones end after their hold time.
 	for deadline := time.Now().Add(testTimeout + 10*cfg.Classes[1].Hold); ; time.Sleep(20 * time.Millisecond) {
 		calls, legs := testbed.Unfinished()
 		if calls+legs == 0 {
@@ -77,7 +77,7 @@
 		}
 	}
 	cancel()
-	for range n {
+	for range exchanges {
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -38,17 +38,18 @@
 //	c1< BYTES   ... receives exactly this message     s1< BYTES   the same for a switch
 //	w1> JSON    a client of the call API sends        x1> JSON    the same for a switch of the API
 //	w1< JSON    ... receives exactly this             x1< JSON    the same for a switch of the API
-//	NAME close  closes a connection                   NAME refuse a switch stops listening too
+//	NAME close  closes the connection                 NAME refuse ... and the switch's listener
 //	NAME eof    the proxy closed the connection       list JSON   an event of the command channel
 //	sync STATE  waits until the proxy has the state   term        SIGTERM
 //	hup         SIGHUP with a new channel address     hup bad     ... with an invalid key
 //
 // Bytes are hexadecimal digits and "texts". * matches the length and value of one
-// parameter; {NAME} is a variable that is set by its first use. The connections c1 and w1
-// open at their first line; a switch uses the newest connection.
+// parameter, and a line with * omits the length of the message. {NAME} is a variable that
+// is set by its first use. The connections c1 and w1 open at their first line. A switch uses
+// one connection until it is closed, then the next that the proxy opened.
 type script struct {
 	t          *testing.T
-	p          *Proxy
+	proxy      *Proxy
 	term       context.CancelFunc
 	done       chan error
 	events     chan string
@@ -68,7 +69,7 @@
 	ln            net.Listener
 	conns         chan net.Conn
 	current       net.Conn
-	in            *bufio.Reader
+	reader        *bufio.Reader
 	sockets       chan *websocket.Conn
 	currentSocket *websocket.Conn
 }
@@ -187,15 +188,15 @@
 
 func (s *script) run(platformConfig *config.Platform, serviceConfig *config.Service) {
 	var err error
-	if s.p, err = New(platformConfig, serviceConfig, slog.New(slog.DiscardHandler)); err != nil {
+	if s.proxy, err = New(platformConfig, serviceConfig, slog.New(slog.DiscardHandler)); err != nil {
 		s.t.Fatal(err)
 	}
 	s.hup = make(chan os.Signal)
-	s.p.ReadConfig = func() (*config.Platform, error) { return config.Parse(*s.configFile.Load()) }
+	s.proxy.ReadConfig = func() (*config.Platform, error) { return config.Parse(*s.configFile.Load()) }
 	ctx, term := context.WithCancel(context.Background())
 	s.term, s.done = term, make(chan error, 1)
 	ready := make(chan struct{})
-	go func() { s.done <- s.p.Run(ctx, s.hup, func() { close(ready) }) }()
+	go func() { s.done <- s.proxy.Run(ctx, s.hup, func() { close(ready) }) }()
 	select {
 	case <-ready:
 	case err := <-s.done:
@@ -206,8 +207,8 @@
 		for _, c := range s.callers {
 			c.Close()
 		}
-		if s.p.Phase() != Stopped {
-			s.p.core.Close() // don't wait for calls that the script left established
+		if s.proxy.Phase() != Stopped {
+			s.proxy.core.Close() // don't wait for calls that the script left established
 		}
 		if err := <-s.done; err != nil {
 			s.t.Errorf("the proxy exited with error %v", err)
@@ -222,7 +223,7 @@
 
 func (s *script) caller(name string) net.Conn {
 	if s.callers[name] == nil {
-		c, err := net.Dial("tcp", s.p.CallAddr.String())
+		c, err := net.Dial("tcp", s.proxy.CallAddr.String())
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -246,9 +247,9 @@
 			s.t.Fatalf("%s: no connection", name)
 		}
 		sw.current.SetDeadline(time.Now().Add(testTimeout))
-		sw.in = bufio.NewReader(sw.current)
+		sw.reader = bufio.NewReader(sw.current)
 	}
-	return sw.current, sw.in
+	return sw.current, sw.reader
 }
 
 // socket returns the WebSocket of a JSON line. Clients w... belong to the tenant acme,
@@ -269,7 +270,7 @@
 		if name[0] == 'v' {
 			token += "-2"
 		}
-		c, _, err := dialAPI(ctx, s.p, token)
+		c, _, err := dialAPI(ctx, s.proxy, token)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -348,7 +349,7 @@
 	t := s.t
 	t.Helper()
 	name, argument, _ := strings.Cut(line, " ")
-	peer, dir := strings.TrimRight(name, "<>"), name[len(name)-1]
+	peer, direction := strings.TrimRight(name, "<>"), name[len(name)-1]
 	json := strings.ContainsRune("wvx", rune(peer[0]))
 	switch {
 	case name == "list":
@@ -381,11 +382,11 @@
 		if b, err := io.ReadAll(r); err != nil || len(b) > 0 {
 			t.Fatalf("want the end of the connection, got %x, error %v", b, err)
 		}
-	case json && dir == '>':
+	case json && direction == '>':
 		if err := s.socket(ctx, peer).Write(ctx, websocket.MessageText, []byte(s.expand(argument))); err != nil {
 			t.Fatal(err)
 		}
-	case json && dir == '<':
+	case json && direction == '<':
 		_, b, err := s.socket(ctx, peer).Read(ctx)
 		if err != nil {
 			t.Fatalf("want %s, got %v", argument, err)
@@ -395,13 +396,13 @@
 		if diff := cmp.Diff(s.expand(argument), got); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
-	case dir == '>':
+	case direction == '>':
 		c, _ := s.stream(peer)
 		b, _ := parsePattern(t, argument)
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
 		}
-	case dir == '<':
+	case direction == '<':
 		_, r := s.stream(peer)
 		want, wildcards := parsePattern(t, argument)
 		got, err := readMasked(r, wildcards)
@@ -448,20 +449,20 @@
 	}
 }
 
-// sync waits until the proxy has a state: "up ID", "draining ID" or "gone ID" of a switch,
+// sync waits until the proxy has a state: "up ID", "draining ID" or "removed ID" of a switch,
 // "calls UNANSWERED ESTABLISHED", "sockets N" of the tenant acme, or "conns N" from callers.
 func (s *script) sync(ctx context.Context, want string) {
 	for {
-		unanswered, established := s.p.core.Counts()
+		unanswered, established := s.proxy.core.Counts()
 		states := []string{fmt.Sprintf("calls %d %d", unanswered, established)}
-		acme, _ := s.p.tenants.Get("acme")
-		states = append(states, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.p.server.ConnCount()))
+		acme, _ := s.proxy.tenants.Get("acme")
+		states = append(states, fmt.Sprintf("sockets %d", acme.Sockets), fmt.Sprintf("conns %d", s.proxy.server.ConnCount()))
 		switchStates := map[string]string{}
-		for _, m := range s.p.core.Switches() {
-			switchStates[m.ID] = [...]string{"up", "draining", "gone"}[m.State]
+		for _, m := range s.proxy.core.Switches() {
+			switchStates[m.ID] = [...]string{"up", "draining", "removed"}[m.State]
 			states = append(states, switchStates[m.ID]+" "+m.ID)
 		}
-		if id, ok := strings.CutPrefix(want, "gone "); ok && switchStates[id] == "" {
+		if id, ok := strings.CutPrefix(want, "removed "); ok && switchStates[id] == "" {
 			return
 		}
 		for _, n := range states {
--- a/internal/proxy/service_test.go
+++ b/internal/proxy/service_test.go
@@ -29,7 +29,7 @@
 // do sends a request to the administration API and returns the status and the body.
 func (s *script) do(method, path, token, body string) (int, string) {
 	s.t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.p.AdminAddr.String()+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+s.proxy.AdminAddr.String()+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -87,12 +87,12 @@
 func TestBadReloadChangesNothing(t *testing.T) {
 	t.Parallel()
 	s := start(t, "\nx1", settingsJSON)
-	valid, err := os.ReadFile(s.p.service.Inventory)
+	valid, err := os.ReadFile(s.proxy.service.Inventory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	invalid := strings.Replace(string(valid), "acme:", "acme2:", 1) + "        third: {max_calls: many}\n"
-	if err := os.WriteFile(s.p.service.Inventory, []byte(invalid), 0o600); err != nil {
+	if err := os.WriteFile(s.proxy.service.Inventory, []byte(invalid), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	status, got := s.do("POST", "/v1/inventory/reload", testToken, "")
@@ -103,7 +103,7 @@
 		t.Errorf("acme changed to %s", got)
 	}
 	// The file without the switch is valid; new calls are no longer sent to the switch.
-	if err := os.WriteFile(s.p.service.Inventory, []byte(strings.Replace(string(valid), "        x1:", "        # x1:", 1)), 0o600); err != nil {
+	if err := os.WriteFile(s.proxy.service.Inventory, []byte(strings.Replace(string(valid), "        x1:", "        # x1:", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if status, got := s.do("POST", "/v1/inventory/reload", testToken, ""); status != 204 {
@@ -141,10 +141,10 @@
 	s := start(t, "\ns1", settingsJSON)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	if _, resp, err := dialAPI(ctx, s.p, "wrong"); err == nil || resp == nil || resp.StatusCode != http.StatusUnauthorized {
+	if _, resp, err := dialAPI(ctx, s.proxy, "wrong"); err == nil || resp == nil || resp.StatusCode != http.StatusUnauthorized {
 		t.Errorf("wrong token: %v", err)
 	}
-	c, _, err := websocket.Dial(ctx, "ws://"+s.p.APIAddr.String()+"/v1/calls",
+	c, _, err := websocket.Dial(ctx, "ws://"+s.proxy.APIAddr.String()+"/v1/calls",
 		&websocket.DialOptions{HTTPHeader: http.Header{"Authorization": {"Bearer " + testToken}}})
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 	s := start(t, "\nx1", settingsJSON)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	slow, _, err := dialAPI(ctx, s.p, testToken)
+	slow, _, err := dialAPI(ctx, s.proxy, testToken)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,12 +219,12 @@
 	s := startWith(t, "\nx1", settingsJSON, func(serviceConfig *config.Service) { serviceConfig.TLSCert, serviceConfig.TLSKey = cert, key })
 	connect := func(pool *x509.CertPool) error {
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, DisableKeepAlives: true}}
-		resp, err := client.Get("https://" + s.p.AdminAddr.String() + "/healthz")
+		resp, err := client.Get("https://" + s.proxy.AdminAddr.String() + "/healthz")
 		if err != nil {
 			return err
 		}
 		resp.Body.Close()
-		c, _, err := websocket.Dial(t.Context(), "wss://"+s.p.APIAddr.String()+"/v1/calls", &websocket.DialOptions{HTTPClient: client,
+		c, _, err := websocket.Dial(t.Context(), "wss://"+s.proxy.APIAddr.String()+"/v1/calls", &websocket.DialOptions{HTTPClient: client,
 			Subprotocols: []string{callapi.Protocol}, HTTPHeader: http.Header{"Authorization": {"Bearer " + testToken}}})
 		if err == nil {
 			c.CloseNow()
@@ -234,17 +234,17 @@
 	if err := connect(first); err != nil {
 		t.Error(err)
 	}
-	if _, _, err := dialAPI(t.Context(), s.p, testToken); err == nil {
+	if _, _, err := dialAPI(t.Context(), s.proxy, testToken); err == nil {
 		t.Error("the call API accepts connections without TLS")
 	}
 	second := newCert(t, cert, key)
-	if err := s.p.Reload(); err != nil {
+	if err := s.proxy.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(cert, []byte("no certificate"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.p.Reload(); err == nil || !strings.Contains(err.Error(), "key tls:") {
+	if err := s.proxy.Reload(); err == nil || !strings.Contains(err.Error(), "key tls:") {
 		t.Errorf("invalid certificate: %v", err)
 	}
 	if err := connect(second); err != nil {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -27,8 +27,8 @@
 }
 
 // KeyError returns an error for one key: "FILE:LINE: key KEY: reason".
-func KeyError(file string, line int, key, why string) error {
-	return fmt.Errorf("%s:%d: key %s: %s", file, max(1, line), key, why)
+func KeyError(file string, line int, key, reason string) error {
+	return fmt.Errorf("%s:%d: key %s: %s", file, max(1, line), key, reason)
 }
 
 // Document returns the root node of a YAML text, which must contain exactly one document.
