--- a/cmd/violetspan/main.go
+++ b/cmd/violetspan/main.go
@@ -4,7 +4,8 @@
 // On the platform it runs without arguments and is configured by the environment
 // variables ROUTER_CONFIG, ROUTER_NAME and ROUTER_LISTEN. With --service FILE it also
 // offers the hosted service, and only that if ROUTER_CONFIG is not set. Other commands
-// solve plans, check inventories and run experiments; --help lists them.
+// solve plans, check inventories, run experiments and manage the identities of a cluster's
+// members; --help lists them.
 package main
 
 import (
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -157,12 +157,12 @@
 	file             string
 	inv              Inventory
 	files            []string
-	incomplete       bool                // a file could not be read to its end
-	entries          map[string]position // by kind and ID
-	switchByExchange map[int]string      // ID of the switch that is up, by exchange
-	tenantByToken    map[string]string   // tenant ID, by token hash
-	groups           map[[2]string]*groupEntry
-	demands          map[[4]string]position
+	incomplete       bool                      // a file could not be read to its end
+	entries          map[string]position       // by kind and ID
+	switchByExchange map[int]string            // ID of the switch that is up, by exchange
+	tenantByToken    map[string]string         // tenant ID, by token hash
+	groups           map[[2]string]*groupEntry // by the IDs of both ends, sorted
+	demands          map[[4]string]position    // by class, both ends and tenant
 	references       []reference
 	errs             []lineError
 }
--- a/internal/inventory/plan.go
+++ b/internal/inventory/plan.go
@@ -145,12 +145,12 @@
 			r.addKeyError(ref.line, ref.key, fmt.Sprintf("no %s %q is listed", ref.kind, ref.id))
 		}
 	}
-	for _, entry := range r.groups {
-		r.file = entry.file
-		if !entry.listedBy[0] || !entry.listedBy[1] {
-			r.addKeyError(entry.line, "at", fmt.Sprintf("the group of %s and %s is listed from one end only", entry.group.A, entry.group.B))
+	for _, listed := range r.groups {
+		r.file = listed.file
+		if !listed.listedBy[0] || !listed.listedBy[1] {
+			r.addKeyError(listed.line, "at", fmt.Sprintf("the group of %s and %s is listed from one end only", listed.group.A, listed.group.B))
 		}
-		r.inv.Plan.Groups = append(r.inv.Plan.Groups, entry.group)
+		r.inv.Plan.Groups = append(r.inv.Plan.Groups, listed.group)
 	}
 	r.sortGroups()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -464,7 +464,7 @@
 }
 
 // loadInventory reads and applies the inventory and the certificate. If either has an
-// error, neither is applied.
+// error, neither is applied. An error of the plan file is only logged.
 func (p *Proxy) loadInventory() error {
 	inv, err := inventory.Load(p.service.Inventory)
 	if err != nil {
