--- a/internal/cluster/entry.go
+++ b/internal/cluster/entry.go
@@ -1,6 +1,6 @@
 // Package cluster replicates a small state machine across instances with a Raft log. A
-// Member is the Raft node of one instance. It has no goroutine, clock or socket of its
-// own, so the same code runs on a virtual clock and on the real one. A Host passes it
+// Member is the Raft node of one instance. It starts no goroutine and uses no clock or
+// socket, so the same code runs on a virtual clock and on the real one. A Host passes it
 // messages and ticks, sends the messages it returns, and provides the storage.
 //
 // The consensus algorithm is that of go.etcd.io/raft/v3. docs/cluster.md describes the
--- a/internal/cluster/host.go
+++ b/internal/cluster/host.go
@@ -36,7 +36,7 @@
 	Bootstrap   bool         // start a new installation with all of Peers as its members
 	Storage     Storage
 	Duties      []duty.Spec
-	// Run executes a claim at its sink, in a goroutine of its own. Its context is
+	// Run executes a claim at its sink, in a separate goroutine. Its context is
 	// cancelled at the duty's deadline or when another member takes the duty over. A
 	// panic counts as an error.
 	Run               func(ctx context.Context, c duty.Claim) error
@@ -85,7 +85,7 @@
 	frame  Frame
 }
 
-// run is a running duty.
+// run is a duty run in progress.
 type run struct{ cancel context.CancelFunc }
 
 type runResult struct {
@@ -109,7 +109,7 @@
 	Counters                  Counters
 	Duties                    []duty.Status
 	Members                   []duty.MemberStatus
-	Now                       time.Duration // time of the log
+	Now                       time.Duration // time of the replicated duty clock
 }
 
 // NewHost opens the member from its storage. It returns ErrInvalidIdentity if the
--- a/internal/cluster/host_test.go
+++ b/internal/cluster/host_test.go
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	defer logs.Close()
-	p := &processes{t: t, links: links, cmds: make([]*exec.Cmd, instances), stdins: make([]io.WriteCloser, instances), logs: logs}
+	procs := &processes{t: t, links: links, cmds: make([]*exec.Cmd, instances), stdins: make([]io.WriteCloser, instances), logs: logs}
 	for i := range uint64(instances) {
 		dir := filepath.Join(t.TempDir(), "member")
 		if err := ca.Issue(dir, i+1, time.Now()); err != nil {
@@ -251,15 +251,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.configs = append(p.configs, string(b))
+		procs.configs = append(procs.configs, string(b))
 	}
 	for i := range instances {
-		p.start(i)
+		procs.start(i)
 	}
 	defer func() {
 		for i := range instances {
-			_ = p.cmds[i].Process.Signal(syscall.SIGCONT) // fails for a killed process
-			p.kill(i)
+			_ = procs.cmds[i].Process.Signal(syscall.SIGCONT) // fails for a killed process
+			procs.kill(i)
 		}
 	}()
 	time.Sleep(2*time.Second + 2**leaseFlag) // to elect a leader, join and register the duties
@@ -296,9 +296,9 @@
 		other, oneWay := uint64(1+random.IntN(instances)), random.IntN(2) == 0
 		switch faultKind {
 		case 0:
-			p.kill(i)
+			procs.kill(i)
 		case 1:
-			_ = p.cmds[i].Process.Signal(syscall.SIGSTOP)
+			_ = procs.cmds[i].Process.Signal(syscall.SIGSTOP)
 		}
 		wg.Go(func() {
 			defer func() { mu.Lock(); disrupted[i] = false; mu.Unlock() }()
@@ -316,9 +316,9 @@
 			time.Sleep(duration)
 			switch faultKind {
 			case 0:
-				p.start(i)
+				procs.start(i)
 			case 1:
-				_ = p.cmds[i].Process.Signal(syscall.SIGCONT)
+				_ = procs.cmds[i].Process.Signal(syscall.SIGCONT)
 			default:
 				for j := uint64(1); j <= instances; j++ {
 					links.SetCut(self, j, false)
@@ -357,13 +357,13 @@
 	}
 	// Time from an instance's outage to the first effect of the instance that takes a duty over.
 	var takeovers []time.Duration
-	for _, g := range outages {
+	for _, o := range outages {
 		for _, effects := range effectsByDuty {
-			k := slices.IndexFunc(effects, func(e recordedEffect) bool { return e.at.After(g.at) })
-			if k <= 0 || effects[k-1].name != g.name || effects[k].name == g.name {
+			k := slices.IndexFunc(effects, func(e recordedEffect) bool { return e.at.After(o.at) })
+			if k <= 0 || effects[k-1].name != o.name || effects[k].name == o.name {
 				continue
 			}
-			takeovers = append(takeovers, effects[k].at.Sub(g.at))
+			takeovers = append(takeovers, effects[k].at.Sub(o.at))
 		}
 	}
 	slices.Sort(takeovers)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -271,7 +271,7 @@
 const maxReadyRounds = 64
 
 // ProcessReady saves and applies pending updates and returns the messages to send. After
-// an error the member is stopped for good, since it may have made a promise, such as a
+// an error the member stops permanently, since it may have made a promise, such as a
 // vote, that is not stored.
 func (m *Member) ProcessReady() (*Output, error) {
 	out := &Output{}
@@ -310,7 +310,7 @@
 		}
 		out.Messages = append(out.Messages, rd.Messages...)
 		for _, msg := range rd.Messages {
-			if msg.GetType() == pb.MsgSnap { // counts as delivered unless the link reports its loss
+			if msg.GetType() == pb.MsgSnap { // counts as delivered: a loss is not reported to the member
 				m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 			}
 		}
--- a/internal/cluster/seeds_test.go
+++ b/internal/cluster/seeds_test.go
@@ -296,8 +296,8 @@
 	}
 	leader, term := node.member.Leader()
 	if node.member.IsLeader() {
-		if was := s.leaders[term]; was != 0 && was != node.id {
-			s.failf("term %d has leaders %d and %d", term, was, node.id)
+		if previous := s.leaders[term]; previous != 0 && previous != node.id {
+			s.failf("term %d has leaders %d and %d", term, previous, node.id)
 		}
 		s.leaders[term] = node.id
 		if s.step%6 == 0 { // advance the duty clock
@@ -351,7 +351,7 @@
 			s.failf("%v", err)
 		}
 		sum := fmt.Sprintf("%x", xxhash.Sum64(b))
-		if was, ok := s.stateHashes[node.member.AppliedIndex()]; ok && was != sum {
+		if previous, ok := s.stateHashes[node.member.AppliedIndex()]; ok && previous != sum {
 			s.failf("%s has a different state at index %d", node.name, node.member.AppliedIndex())
 		}
 		s.stateHashes[node.member.AppliedIndex()] = sum
@@ -409,8 +409,8 @@
 	return s.trace.Sum64(), s.failure, len(s.effects)
 }
 
-// checkFinalState checks for one leader, with all nodes up, and that every period but the
-// last is done.
+// checkFinalState checks that all nodes are up, that there is one leader, and that every period
+// but the last is done.
 func (s *sim) checkFinalState() {
 	leaders := 0
 	var state *duty.State
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -28,10 +28,10 @@
 }
 
 // describe returns the stored state as text, for comparison.
-func describe(k *StoredState) string {
+func describe(stored *StoredState) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %d %d %q", k.HardState.GetTerm(), k.HardState.GetCommit(), k.Snapshot.GetMetadata().GetIndex(), k.Snapshot.GetData())
-	for _, e := range k.Entries {
+	fmt.Fprintf(&b, "%d %d %d %q", stored.HardState.GetTerm(), stored.HardState.GetCommit(), stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetData())
+	for _, e := range stored.Entries {
 		fmt.Fprintf(&b, " %d/%d %q", e.GetTerm(), e.GetIndex(), e.GetData())
 	}
 	return b.String()
@@ -44,17 +44,17 @@
 		return "", err
 	}
 	defer s.Close()
-	k, err := s.Load()
+	stored, err := s.Load()
 	if err != nil {
 		return "", err
 	}
-	return describe(k), nil
+	return describe(stored), nil
 }
 
 // Store must behave as memStorage does after any sequence of saves, also after reopening.
 func TestStoreMatchesMemStorage(t *testing.T) {
 	for seed := range uint64(10) {
-		r := rand.New(rand.NewPCG(seed, 4))
+		random := rand.New(rand.NewPCG(seed, 4))
 		path := filepath.Join(t.TempDir(), "store")
 		s, err := OpenStore(path, 1)
 		if err != nil {
@@ -63,31 +63,31 @@
 		model := &memStorage{}
 		last, base := uint64(0), uint64(0)
 		for range 60 {
-			c := &WriteBatch{}
-			if r.IntN(2) == 0 {
-				c.HardState = hardState(r.Uint64N(9), last)
+			batch := &WriteBatch{}
+			if random.IntN(2) == 0 {
+				batch.HardState = hardState(random.Uint64N(9), last)
 			}
-			switch r.IntN(8) {
+			switch random.IntN(8) {
 			case 0:
 				if last > base {
-					base += 1 + r.Uint64N(last-base)
-					c.Snapshot = snapshot(base, fmt.Sprint("state ", base))
+					base += 1 + random.Uint64N(last-base)
+					batch.Snapshot = snapshot(base, fmt.Sprint("state ", base))
 				}
 			case 1:
-				base = last + r.Uint64N(5)
+				base = last + random.Uint64N(5)
 				last = base
-				c.Snapshot, c.Received = snapshot(base, "foreign"), true
+				batch.Snapshot, batch.Received = snapshot(base, "foreign"), true
 			default:
-				from := base + 1 + r.Uint64N(last-base+1)
-				for i := range 1 + r.Uint64N(6) {
+				from := base + 1 + random.Uint64N(last-base+1)
+				for i := range 1 + random.Uint64N(6) {
 					last = from + i
-					c.Entries = append(c.Entries, entry(seed, last, strings.Repeat("x", r.IntN(3000))))
+					batch.Entries = append(batch.Entries, entry(seed, last, strings.Repeat("x", random.IntN(3000))))
 				}
 			}
-			if err := errors.Join(s.Save(c), model.Save(c)); err != nil {
+			if err := errors.Join(s.Save(batch), model.Save(batch)); err != nil {
 				t.Fatal(err)
 			}
-			if r.IntN(10) == 0 {
+			if random.IntN(10) == 0 {
 				if err := s.Close(); err != nil {
 					t.Fatal(err)
 				}
@@ -95,10 +95,10 @@
 					t.Fatal(err)
 				}
 			}
-			k, err := s.Load()
+			stored, err := s.Load()
 			want, _ := model.Load()
-			if err != nil || describe(k) != describe(want) {
-				t.Fatalf("seed %d: %v\n%s\n%s", seed, err, describe(k), describe(want))
+			if err != nil || describe(stored) != describe(want) {
+				t.Fatalf("seed %d: %v\n%s\n%s", seed, err, describe(stored), describe(want))
 			}
 		}
 		s.Close()
@@ -113,19 +113,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	save := func(c *WriteBatch) ([]byte, string) {
-		if err := s.Save(c); err != nil {
+	save := func(batch *WriteBatch) ([]byte, string) {
+		if err := s.Save(batch); err != nil {
 			t.Fatal(err)
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, err := s.Load()
+		stored, err := s.Load()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b, describe(k)
+		return b, describe(stored)
 	}
 	save(&WriteBatch{HardState: hardState(1, 1), Snapshot: snapshot(1, strings.Repeat("state", 100))})
 	for i := range uint64(40) {
@@ -141,7 +141,7 @@
 func TestFlippedBits(t *testing.T) {
 	_, after, _, want := writeStore(t)
 	dir, n := t.TempDir(), 0
-	r := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	found, harmless := 0, 0
 	loadDamaged := func(b []byte, what string) {
 		n++ // a new file each time: a corrupt one may stay locked
@@ -163,8 +163,8 @@
 	}
 	for range 600 {
 		b := bytes.Clone(after)
-		i := r.IntN(len(b))
-		b[i] ^= 1 << r.IntN(8)
+		i := random.IntN(len(b))
+		b[i] ^= 1 << random.IntN(8)
 		loadDamaged(b, fmt.Sprintf("byte %d", i))
 	}
 	for size := 0; size < len(after); size += 1777 {
@@ -183,23 +183,23 @@
 	before, after, wantBefore, wantAfter := writeStore(t)
 	const page = 4096
 	path := filepath.Join(t.TempDir(), "torn")
-	r := rand.New(rand.NewPCG(2, 2))
+	random := rand.New(rand.NewPCG(2, 2))
 	for range 100 {
 		b := bytes.Clone(before)
 		if len(after) > len(b) {
 			b = append(b, make([]byte, len(after)-len(b))...)
 		}
 		for p := 2; p < len(after)/page; p++ { // pages 0 and 1 are the meta pages
-			if r.IntN(2) == 0 {
+			if random.IntN(2) == 0 {
 				copy(b[p*page:(p+1)*page], after[p*page:(p+1)*page])
 			}
 		}
 		want, partialMetaPage := wantBefore, false
-		if r.IntN(2) == 0 { // all pages, and part of a meta page
+		if random.IntN(2) == 0 { // all pages, and part of a meta page
 			copy(b[2*page:], after[2*page:])
 			for p := range 2 {
 				if !bytes.Equal(before[p*page:(p+1)*page], after[p*page:(p+1)*page]) {
-					n := r.IntN(80)
+					n := random.IntN(80)
 					copy(b[p*page:p*page+n], after[p*page:])
 					switch {
 					case bytes.Equal(b[p*page:(p+1)*page], after[p*page:(p+1)*page]):
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -1,5 +1,5 @@
-// Package lab runs experiments on the emulated mesh: it plays sizes and seeds with several
-// policies and compares the policies in pairs of runs, with confidence intervals.
+// Package lab runs experiments on the emulated mesh: it runs several policies on the same sizes
+// and seeds and compares them in pairs of runs, with confidence intervals.
 package lab
 
 import (
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -13,7 +13,7 @@
 )
 
 // Experiment is the content of an experiment file. Each size and seed gives one installation
-// and one day of traffic, which every policy plays once.
+// and one day of traffic, which is emulated once with every policy.
 type Experiment struct {
 	Name           string
 	Sizes          []int    // exchanges
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestStops(t *testing.T) {
+func TestRunWithCancelledContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := DefaultExperiment().Run(ctx, nil); err == nil {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -50,7 +50,7 @@
 	{"tandem share", func(r *mesh.Result) float64 { return r.TandemShare }},
 }
 
-// Run plays every size and seed with every policy, several in parallel. progress, if not nil,
+// Run emulates every size and seed with every policy, several in parallel. progress, if not nil,
 // is called after each run, by one goroutine at a time. Run returns the first error; a
 // cancelled context is one.
 func (e *Experiment) Run(ctx context.Context, progress func(done, total int)) ([]RunResult, error) {
@@ -101,7 +101,7 @@
 	return results, err
 }
 
-// runOne plays one size and seed with one policy.
+// runOne emulates one size and seed with one policy.
 func (e *Experiment) runOne(size int, seed uint64, policy string) (*mesh.Result, error) {
 	cfg := DrawConfig(size, e.Load, time.Duration(e.LengthSeconds*float64(time.Second)), seed)
 	AddFaults(&cfg, e.Faults)
--- a/internal/mesh/engine.go
+++ b/internal/mesh/engine.go
@@ -13,8 +13,8 @@
 	at    time.Duration
 	seq   uint64
 	run   func()
-	kind  byte // for the trace
-	place uint32
+	kind  byte   // of the event, for the trace
+	place uint32 // number of the exchange, flow or caller, for the trace
 }
 
 // eventQueue is a min-heap with four children per node: it has few levels, and events are
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -953,7 +953,7 @@
 			m.endAttempt(parent, routing.Reset, routing.CauseNone)
 			parent.try.notBefore = m.now + releaseDelay
 		} else {
-			m.redial(try.caller) // the caller notices that the line is dead
+			m.redial(try.caller) // the caller detects that the connection is lost
 		}
 	}
 	exchange.tries = map[string]*tryState{}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -137,7 +137,7 @@
 }
 
 // A policy that breaks a rule must end the run with an error that names the rule.
-func TestRulesAreHeld(t *testing.T) {
+func TestPolicyRuleViolations(t *testing.T) {
 	for want, change := range map[string]func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action{
 		"two attempts outstanding": func(p *SimplePolicy, ev routing.Event, actions []routing.Action) []routing.Action {
 			return append(actions, actions...)
--- a/internal/mesh/policy.go
+++ b/internal/mesh/policy.go
@@ -17,7 +17,7 @@
 	rng          *rand.Rand
 	useTandems   bool
 	ready        []routing.ListEntry // exchanges that take calls, by number
-	freeCircuits map[string]int      // by host of the far exchange; no entry: not known
+	freeCircuits map[string]int      // by host of the far exchange; no entry: unknown, as after reports of Size -1 only
 	calls        map[string]*simpleCall
 	subscribed   bool
 }
@@ -90,6 +90,7 @@
 	return nil
 }
 
+// recordReport stores the free circuits of a group. A report without a known size changes nothing.
 func (p *SimplePolicy) recordReport(host string, r routing.Report) {
 	if r.Size >= 0 {
 		p.freeCircuits[host] = r.Free
--- a/internal/mesh/result.go
+++ b/internal/mesh/result.go
@@ -104,7 +104,8 @@
 	r.Service = ratio(earned, offered)
 	r.WorstService = 1
 	for i, worth := range r.windowOffered {
-		// A last window of at most half the length says little: it counts only if it is the only one.
+		// A last window of at most half the length is not representative: it counts only if it is
+		// the only one.
 		if worth > 0 && (i == 0 || i < len(r.windowOffered)-1 || (m.cfg.Length-m.cfg.CountFrom)%windowLength > windowLength/2) {
 			r.WorstService = min(r.WorstService, ratio(r.windowEarned[i], worth))
 		}
--- a/internal/soak/incident_test.go
+++ b/internal/soak/incident_test.go
@@ -115,7 +115,7 @@
 // Related to the incident: a partition lets no connection to discovery be established, and a
 // switch is draining when it ends. The proxies count as notified of the drain 6 s after discovery
 // is reachable again.
-func TestDrainIsHeardAfterDiscoveryWasCutOff(t *testing.T) {
+func TestDrainIsNotifiedAfterDiscoveryPartition(t *testing.T) {
 	t.Parallel()
 	config := steadyConfig(25)
 	config.HoldTimes = standin.HoldTimes{Min: 100 * time.Millisecond, Max: 200 * time.Millisecond}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	seeds     = flag.Int("soak.seeds", 6, "number of trials, each with a seed of its own")
+	seeds     = flag.Int("soak.seeds", 6, "number of trials, each with its own seed")
 	firstSeed = flag.Uint64("soak.first", 1, "seed of the first trial")
 	parallel  = flag.Int("soak.parallel", 3, "number of trials that run at the same time")
 )
@@ -101,7 +101,8 @@
 	inject func(tr *trial, index int, d [3]time.Duration)
 }
 
-// switchFaults are the faults of one switch.
+// switchFaults are the faults of one switch. The random durations d[0], d[1] and d[2] are up to
+// 1 s, 3 s and 9 s.
 var switchFaults = []fault{
 	{"loses power, is replaced", 4, func(tr *trial, index int, d [3]time.Duration) {
 		s := tr.testbed.Switch(index)
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Links are TCP forwarders between numbered parties, one for each direction, each with an
-// address of its own. Cutting a link closes its connections and lets no new one through.
+// Links are TCP forwarders between numbered parties, one for each direction, each with its own
+// address. Cutting a link closes its connections and lets no new one through.
 type Links struct {
 	mu        sync.Mutex // guards all below
 	addrs     map[uint64]string
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -107,7 +107,7 @@
 }
 
 // Serve accepts connections on a loopback address until the returned listener is closed, and
-// handles each in a goroutine of its own.
+// handles each in a separate goroutine.
 func Serve(handle func(c net.Conn)) (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Port is a TCP listener through which one party serves another, on an address of its own. It
+// Port is a TCP listener through which one party serves another, at its own address. It
 // can simulate faults of the network and of the machine: connections are refused, reset, not
 // established, or silent. Data written during a silence is sent when the silence ends.
 type Port struct {
@@ -149,7 +149,7 @@
 	if err := setBacklog(listener, 0); err != nil {
 		return err
 	}
-	// A backlog of 0 still accepts one or two connections; unused ones take these places.
+	// A backlog of 0 still admits one or two connections: unused connections fill it.
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp", p.addr, fillDialTimeout)
 		if err != nil {
@@ -243,8 +243,8 @@
 	}
 }
 
-// recentlySilent reports whether the port is silent or was within the last staleWindow: what is
-// noticed now may have happened long before.
+// recentlySilent reports whether the port is silent or was within the last staleWindow: an event
+// that is noticed now may have happened long before, during the silence.
 func (p *Port) recentlySilent() bool {
 	if p.isSilent() {
 		return true
--- a/internal/standin/testbed.go
+++ b/internal/standin/testbed.go
@@ -25,7 +25,7 @@
 }
 
 // Testbed runs a few proxies as processes, with simulated switches, callers and discovery, each at
-// loopback addresses of its own.
+// its own loopback addresses.
 type Testbed struct {
 	Config    TestbedConfig
 	Ledger    *Ledger
