--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -42,9 +42,10 @@
 
 const maxBodyBytes = 64 << 10
 
-// tenantFields are the fields of a tenant in a request. Fields that are left out do not
-// change.
-type tenantFields struct {
+// limits are the fields of a tenant in a request. Fields that are left out do not
+// change. The names of the type and its fields must not change, because the decode
+// errors sent to clients contain them.
+type limits struct {
 	ID             string   `json:"id"`
 	Disabled       *bool    `json:"disabled"`
 	MaxCalls       *int     `json:"max_calls"`
@@ -52,7 +53,7 @@
 	MaxSockets     *int     `json:"max_sockets"`
 }
 
-func (l tenantFields) apply(s *tenant.Spec) {
+func (l limits) apply(s *tenant.Spec) {
 	setIfPresent(&s.Disabled, l.Disabled)
 	setIfPresent(&s.MaxCalls, l.MaxCalls)
 	setIfPresent(&s.CallsPerSecond, l.CallsPerSecond)
@@ -188,7 +189,7 @@
 	_, _ = w.Write(append(b, '\n'))
 }
 
-func readFields(r *http.Request) (fields tenantFields, err error) {
+func readFields(r *http.Request) (fields limits, err error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return fields, apiError{http.StatusRequestEntityTooLarge, "too_large", err.Error()}
