--- a/decide/plan/weights.go
+++ b/decide/plan/weights.go
@@ -3,14 +3,15 @@
 import "math"
 
 // TandemWeight is the share of a tandem among the alternate routes from one switch to
-// another.
+// another. It becomes a Weight of package routing.
 type TandemWeight struct {
 	From, To, Tandem string
 	Weight           float64 // weights of the same From and To add up to 1
 }
 
 // CircuitValue is the worth of one circuit of a group to the calls that the plan routes
-// over it, relative to the highest worth that a circuit could carry: 0 to 1.
+// over it, relative to the highest worth that a circuit could carry: 0 to 1. Package routing
+// calls it a Guard.
 type CircuitValue struct {
 	A, B  string
 	Value float64
@@ -26,8 +27,8 @@
 // direct group full are best distributed over the tandems. Before it is normalized, a
 // weight is the planned traffic via the tandem, in erlangs, plus the spare capacity of the
 // second leg, reduced by the utilization of the tandem's processor. The first leg's spare
-// capacity doesn't count, since the exchange that uses the weights knows it better. Tandems
-// with neither are omitted.
+// capacity doesn't count, since the exchange that uses the weights knows its own free
+// circuits. Tandems with neither are omitted.
 func (a *Answer) TandemWeights(p *Problem) []TandemWeight {
 	classes := map[string]Class{}
 	for _, c := range p.Classes {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -113,8 +113,8 @@
 		return cmp.Or(slices.Index(r.files, a.file)-slices.Index(r.files, b.file), a.line-b.line)
 	})
 	var errs Errors
-	for _, f := range r.errs {
-		errs = append(errs, f.err)
+	for _, e := range r.errs {
+		errs = append(errs, e.err)
 	}
 	return nil, errs
 }
@@ -157,12 +157,12 @@
 	file             string
 	inv              Inventory
 	files            []string
-	incomplete       bool                // a file could not be read to its end
-	entries          map[string]position // by kind and ID
-	switchByExchange map[int]string      // ID of the switch that is up, by exchange
-	tenantByToken    map[string]string   // tenant ID, by token hash
-	groups           map[[2]string]*groupEntry
-	demands          map[[4]string]position
+	incomplete       bool                      // a file could not be read to its end
+	entries          map[string]position       // by kind and ID
+	switchByExchange map[int]string            // ID of the switch that is up, by exchange
+	tenantByToken    map[string]string         // tenant ID, by token hash
+	groups           map[[2]string]*groupEntry // by the IDs of both ends, sorted
+	demands          map[[4]string]position    // by class, both ends and tenant
 	references       []reference
 	errs             []lineError
 }
@@ -442,7 +442,7 @@
 	return nil
 }
 
-// kindByGroup maps the groups of a YAML inventory to the kind of their entries.
+// kindByGroup maps the Ansible groups of a YAML inventory to the kind of their entries.
 var kindByGroup = map[string]string{"switches": kindSwitch, "tenants": kindTenant, "groups": kindGroup, "classes": kindClass, "demands": kindDemand}
 
 // readYAML reads the format of Ansible's YAML inventories: all, children, groups, hosts
@@ -470,7 +470,7 @@
 	})
 }
 
-// readGroup reads the hosts of one group.
+// readGroup reads the hosts of one Ansible group as entries of a kind.
 func (r *reader) readGroup(kind, group string, g *yaml.Node) error {
 	defaults := map[string]value{}
 	var hosts *yaml.Node
